--- a/app/src/main/java/wrenreach/app/Main.java
+++ b/app/src/main/java/wrenreach/app/Main.java
@@ -15,7 +15,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import wrenreach.Choice;
+import wrenreach.DeliveryDispatcher;
 import wrenreach.frame.Command;
 import wrenreach.held.HeldMail;
 import wrenreach.held.Journal;
@@ -96,7 +96,7 @@
                 case "held":
                     return held(path(line, "state", environment));
                 case "wirehost":
-                    return new WireHost(System.in, System.out, System.err, Choice::new).run();
+                    return new WireHost(System.in, System.out, System.err, DeliveryDispatcher::new).run();
                 case "version":
                     String version = Main.class.getPackage().getImplementationVersion();
                     System.out.println("wrenreach " + (version == null ? "(not packaged)" : version));
@@ -112,7 +112,7 @@
             System.err.println("wrenreach: " + e.getMessage());
             System.err.print(USAGE);
             return 2;
-        } catch (Config.Unusable | IOException e) {
+        } catch (Config.InvalidConfigException | IOException e) {
             System.err.println("wrenreach: " + e.getMessage());
             return 2;
         } catch (InterruptedException e) {
@@ -148,7 +148,7 @@
         }
         try {
             List<HeldMail> owed = Journal.read(state);
-            owed.forEach(mail -> System.out.println(mail.line()));
+            owed.forEach(mail -> System.out.println(mail.describe()));
             System.out.println(owed.size() + " mails owed");
             return 0;
         } catch (IOException e) {
--- a/app/src/main/java/wrenreach/app/OperatorCommand.java
+++ b/app/src/main/java/wrenreach/app/OperatorCommand.java
@@ -25,9 +25,9 @@
         try {
             OperatorFile file = OperatorFile.read(Path.of(words.get(1)), Parts.sections());
             if (words.get(0).equals("show")) {
-                List<OperatorFile.Shown> shown = file.shown();
+                List<OperatorFile.EffectiveValue> shown = file.effectiveValues();
                 int width = shown.stream().mapToInt(one -> (one.key() + one.value()).length()).max().orElse(0) + 3;
-                for (OperatorFile.Shown one : shown) {
+                for (OperatorFile.EffectiveValue one : shown) {
                     String pair = one.key() + " = " + one.value();
                     out.println(pair + " ".repeat(width + 1 - pair.length()) + "# " + one.origin() + ": " + one.about());
                 }
@@ -35,8 +35,8 @@
                 out.println(words.get(1) + ": sound");
             }
             return 0;
-        } catch (OperatorFile.Unusable e) {
-            e.faults().forEach(fault -> err.println(fault.at(words.get(1))));
+        } catch (OperatorFile.InvalidFileException e) {
+            e.faults().forEach(fault -> err.println(fault.format(words.get(1))));
             return 2;
         }
     }
--- a/app/src/main/java/wrenreach/app/Rehearsal.java
+++ b/app/src/main/java/wrenreach/app/Rehearsal.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicInteger;
-import wrenreach.Choice;
+import wrenreach.DeliveryDispatcher;
 import wrenreach.held.Journal;
 import wrenreach.net.Addresses;
 import wrenreach.endpoints.EndpointTable;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
 
@@ -58,7 +58,7 @@
             exchange.sendResponseHeaders(204, -1);
             exchange.close();
         });
-        String address = Addresses.text(outside.getAddress());
+        String address = Addresses.format(outside.getAddress());
         outside.createContext("/api/targets", exchange -> {
             // A watch stays open.
             exchange.sendResponseHeaders(200, 0);
@@ -68,13 +68,13 @@
             exchange.getResponseBody().flush();
         });
         outside.start();
-        EndpointTable known = config.known().empty();
-        known.take(new ListLine(0, true, List.of(new ListLine.Entry("receiver-1", address, "", "", 1, "SERVING", 500))));
+        EndpointTable known = config.known().newEmpty();
+        known.apply(new ListUpdate(0, true, List.of(new ListUpdate.Entry("receiver-1", address, "", "", 1, "SERVING", 500))));
         DeliveryNode node = new DeliveryNode(new Config(config.name(), config.listen(), outside.getAddress(),
                 config.descriptors(), config.memoryBytes(), config.diskBytes(),
                 known,
                 config.settings(), config.queueClasses(), config.tenants(), config.kinds(), config.zones(),
-                config.reportNames()), Journal.open(state, config.diskBytes()), Choice::new);
+                config.reportNames()), Journal.open(state, config.diskBytes()), DeliveryDispatcher::new);
         node.start();
         try {
             InetSocketAddress door = node.serving().get(WAIT_S, TimeUnit.SECONDS);
--- a/app/src/main/java/wrenreach/app/Serve.java
+++ b/app/src/main/java/wrenreach/app/Serve.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.locks.LockSupport;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
-import wrenreach.Choice;
-import wrenreach.frame.Host;
-import wrenreach.frame.Running;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.frame.NodeContext;
+import wrenreach.frame.RunningSubsystem;
 import wrenreach.frame.Subsystem;
-import wrenreach.held.FolderFault;
+import wrenreach.held.StorageErrors;
 import wrenreach.held.Journal;
 import wrenreach.held.Ledger;
 import wrenreach.log.JsonLog;
 import wrenreach.log.LogEvent;
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
-import wrenreach.node.Failure;
+import wrenreach.node.FailureReport;
 import wrenreach.node.Reload;
 import wrenreach.operator.OperatorFile;
 import wrenreach.watch.FileWatch;
@@ -71,12 +71,12 @@
         });
         try {
             return serve(state, check, config, own, told);
-        } catch (Config.Unusable | OperatorFile.Unusable | Subsystem.CantStart e) {
+        } catch (Config.InvalidConfigException | OperatorFile.InvalidFileException | Subsystem.StartException e) {
             e.getMessage().lines().forEach(line -> err.println("wrenreach: " + line));
             return 2;
         } catch (OutOfMemoryError e) {
             // Guards against a start that ends in the middle of its reading: what was read is garbage by now.
-            err.println("wrenreach: " + Failure.outOfMemory(e) + ", the config " + file.toFile().length() / 1000 + " KB, the journal "
+            err.println("wrenreach: " + FailureReport.outOfMemory(e) + ", the config " + file.toFile().length() / 1000 + " KB, the journal "
                     + state.resolve("journal").toFile().length() / 1000 + " KB: give it more memory (-Xmx in deploy/serve.options) or less"
                     + " to hold");
             return 1;
@@ -96,7 +96,7 @@
     }
 
     private int serve(Path state, boolean check, Reload config, Reload own, boolean told)
-            throws Config.Unusable, OperatorFile.Unusable, Subsystem.CantStart {
+            throws Config.InvalidConfigException, OperatorFile.InvalidFileException, Subsystem.StartException {
         Config read = Config.read(file, environment);
         name = read.name();
         if (operatorFile != null) {
@@ -110,7 +110,7 @@
             err.println("wrenreach: state folder " + state + " can't be used: " + e);
             return 1;
         }
-        DeliveryNode node = new DeliveryNode(read, journal, Choice::new);
+        DeliveryNode node = new DeliveryNode(read, journal, DeliveryDispatcher::new);
         // Not a shutdown hook: the logging of the platform ends in one of its own, and a stop is to be logged.
         Signal.handle(new Signal("TERM"), signal -> node.stop());
         Signal.handle(new Signal("INT"), signal -> node.stop());
@@ -122,12 +122,12 @@
         if (check) {
             node.serving().thenRun(node::stop);
         }
-        LogEvent.tell(LOG, Level.INFO, "reload.way", "config is read again {way}", "way", told ? "on SIGHUP"
+        LogEvent.log(LOG, Level.INFO, "reload.way", "config is read again {way}", "way", told ? "on SIGHUP"
                 : "whenever it changes: SIGHUP is ignored here");
         node.start();
-        config.tell(node::reconfigured);
+        config.setHandler(node::reconfigured);
         if (own != null) {
-            own.tell(file -> {
+            own.setHandler(file -> {
                 try (InputStream in = file.open()) {
                     reloaded(in.readAllBytes(), node);
                 }
@@ -140,7 +140,7 @@
     }
 
     /** What is kept in the state folder; where the folder fails in a way that may pass, it is tried again for some seconds. */
-    private Ledger open(Path state, long limit) throws IOException, Subsystem.CantStart {
+    private Ledger open(Path state, long limit) throws IOException, Subsystem.StartException {
         long until = System.nanoTime() + FOLDER_PATIENCE;
         while (true) {
             try {
@@ -148,7 +148,7 @@
                 Ledger brought = operatorFile == null ? null : ledger(state, limit);
                 return brought == null ? Journal.open(state, limit) : brought;
             } catch (IOException e) {
-                if (!FolderFault.mayPass(e) || System.nanoTime() > until) {
+                if (!StorageErrors.isTransient(e) || System.nanoTime() > until) {
                     throw e;
                 }
                 LockSupport.parkNanos(FOLDER_AGAIN);
@@ -165,7 +165,7 @@
     }
 
     /** What the operator's file puts in place of the journal; null: nothing. */
-    private Ledger ledger(Path state, long limit) throws Subsystem.CantStart {
+    private Ledger ledger(Path state, long limit) throws Subsystem.StartException {
         for (Subsystem<?> subsystem : Parts.subsystems()) {
             Ledger brought = ledger(subsystem, state, limit);
             if (brought != null) {
@@ -175,42 +175,42 @@
         return null;
     }
 
-    private <S extends Record> Ledger ledger(Subsystem<S> subsystem, Path state, long limit) throws Subsystem.CantStart {
+    private <S extends Record> Ledger ledger(Subsystem<S> subsystem, Path state, long limit) throws Subsystem.StartException {
         var section = operator.section(subsystem.section());
         try {
             return section.isEmpty() ? null : subsystem.ledger(section.get(), state, limit).orElse(null);
-        } catch (Subsystem.CantStart e) {
-            throw new Subsystem.CantStart(operatorFile + ": " + subsystem.section().name() + ": " + e.getMessage());
+        } catch (Subsystem.StartException e) {
+            throw new Subsystem.StartException(operatorFile + ": " + subsystem.section().name() + ": " + e.getMessage());
         }
     }
 
-    private <S extends Record> void start(Subsystem<S> subsystem, DeliveryNode node) throws Subsystem.CantStart {
+    private <S extends Record> void start(Subsystem<S> subsystem, DeliveryNode node) throws Subsystem.StartException {
         var section = operator.section(subsystem.section());
         if (section.isPresent()) {
             String named = subsystem.section().name();
-            Host host = node;
+            NodeContext host = node;
             try {
-                Running<S> running = subsystem.start(section.get(), host);
+                RunningSubsystem<S> running = subsystem.start(section.get(), host);
                 node.add(named, running);
                 inForce.put(named, section.get());
-            } catch (Subsystem.CantStart e) {
-                throw new Subsystem.CantStart(operatorFile + ": " + named + ": " + e.getMessage());
+            } catch (Subsystem.StartException e) {
+                throw new Subsystem.StartException(operatorFile + ": " + named + ": " + e.getMessage());
             }
-            LogEvent.tell(LOG, Level.INFO, "subsystem.on", "{subsystem}: on", "subsystem", named);
+            LogEvent.log(LOG, Level.INFO, "subsystem.on", "{subsystem}: on", "subsystem", named);
         }
     }
 
     /** Takes the operator's file as it now is, whole or not at all, and says what became of each change. */
-    private synchronized void reloaded(byte[] bytes, DeliveryNode node) throws Reload.Unusable {
+    private synchronized void reloaded(byte[] bytes, DeliveryNode node) throws Reload.RejectedFileException {
         OperatorFile newer;
         try {
             newer = OperatorFile.parse(operatorFile, bytes, Parts.sections());
-        } catch (OperatorFile.Unusable e) {
-            throw new Reload.Unusable(String.join("; ", e.faults().stream().map(f -> f.at(operatorFile)).toList()));
+        } catch (OperatorFile.InvalidFileException e) {
+            throw new Reload.RejectedFileException(String.join("; ", e.faults().stream().map(f -> f.format(operatorFile)).toList()));
         }
         List<OperatorFile.Change> changes = operator.changes(newer);
         for (OperatorFile.Change change : changes) {
-            LogEvent.tell(LOG, change.live() ? Level.INFO : Level.WARNING, "reload.change",
+            LogEvent.log(LOG, change.live() ? Level.INFO : Level.WARNING, "reload.change",
                     "operator's file: {key} was {before}, now {after}{effect}", "key", change.key(), "before",
                     change.before(), "after", change.after(), "effect", change.live() ? "" : " (needs a restart)");
         }
--- a/app/src/test/java/wrenreach/app/FailingNode.java
+++ b/app/src/test/java/wrenreach/app/FailingNode.java
@@ -4,16 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wrenreach.Choice;
-import wrenreach.api.Answer;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
 import wrenreach.held.Journal;
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
 /** A node as a process that fails at one place, for real: memory is filled, the stack is used up, or something is thrown. */
@@ -35,7 +35,7 @@
         DeliveryNode node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), settings -> module(place, kind, settings));
         node.start();
         if (place == Place.TASK) {
-            node.later(() -> fail(kind, new ArrayList<>()), 1000);
+            node.schedule(() -> fail(kind, new ArrayList<>()), 1000);
         }
         System.exit(node.stopped().join());
     }
@@ -68,7 +68,7 @@
     }
 
     private static Dispatcher module(Place place, Kind kind, Settings settings) {
-        Choice sound = new Choice(settings);
+        DeliveryDispatcher sound = new DeliveryDispatcher(settings);
         return new Dispatcher() {
             /** What fills the memory stays, as a module's state would. */
             private final List<Object> held = new ArrayList<>();
@@ -80,28 +80,28 @@
                 }
             }
 
-            @Override public List<Answer> admit(Mail mail, long now) {
+            @Override public List<Action> admit(Mail mail, long now) {
                 // The folder owes one mail; what comes after it, a client brings.
                 fails(admitted++ > 0 ? Place.REQUEST : Place.RECOVERED);
                 return sound.admit(mail, now);
             }
 
-            @Override public List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now) {
-                return sound.ended(connect, outcome, report, done, now);
+            @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
+                return sound.attemptEnded(connect, outcome, report, done, now);
             }
 
-            @Override public List<Answer> withdrawn(Mail mail, long now) {
+            @Override public List<Action> withdrawn(Mail mail, long now) {
                 return sound.withdrawn(mail, now);
             }
 
-            @Override public List<Answer> listed(Listing listing, long now) {
+            @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
                 fails(Place.LISTED);
-                return sound.listed(listing, now);
+                return sound.endpointsUpdated(listing, now);
             }
 
-            @Override public List<Answer> next(long now) {
+            @Override public List<Action> nextActions(long now) {
                 fails(Place.TURN);
-                return sound.next(now);
+                return sound.nextActions(now);
             }
         };
     }
--- a/app/src/test/java/wrenreach/app/FailureTest.java
+++ b/app/src/test/java/wrenreach/app/FailureTest.java
@@ -38,7 +38,7 @@
         Files.createDirectories(state());
         Journal journal = Journal.open(state(), 2_000_000);
         Submission mail = new Submission("m1", "", "order", "shop", "k-1", 1, "body".getBytes(StandardCharsets.US_ASCII));
-        journal.taken(new HeldMail(mail, 1000 * (System.currentTimeMillis() + 3_600_000)));
+        journal.accepted(new HeldMail(mail, 1000 * (System.currentTimeMillis() + 3_600_000)));
         journal.write();
         journal.close();
     }
--- a/app/src/test/java/wrenreach/app/ReadyTest.java
+++ b/app/src/test/java/wrenreach/app/ReadyTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wrenreach.endpoints.EndpointTable;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.held.HeldMail;
 import wrenreach.held.Journal;
 import wrenreach.held.Submission;
@@ -36,16 +36,16 @@
         try (Journal journal = Journal.open(state, DISK)) {
             long ends = 1000 * (System.currentTimeMillis() + 3_600_000);
             for (; journal.fits(100, 0, 4); mails++) {
-                journal.taken(new HeldMail(new Submission("m" + mails, "", "order", "shop", "t" + mails, mails % ENDPOINTS, new byte[100]), ends));
+                journal.accepted(new HeldMail(new Submission("m" + mails, "", "order", "shop", "t" + mails, mails % ENDPOINTS, new byte[100]), ends));
             }
-            List<ListLine.Entry> entries = new ArrayList<>();
+            List<ListUpdate.Entry> entries = new ArrayList<>();
             for (int i = 0; i < ENDPOINTS; i++) {
-                entries.add(new ListLine.Entry("receiver-" + i, "127.0.0.1:9", "home", "small", i, "SERVING", 10));
+                entries.add(new ListUpdate.Entry("receiver-" + i, "127.0.0.1:9", "home", "small", i, "SERVING", 10));
             }
             EndpointTable list = new EndpointTable(1_000_000, "a test");
-            list.take(new ListLine(9, true, entries));
-            journal.lists().commit(9, "127.0.0.1:9", list);
-            journal.lists().close();
+            list.apply(new ListUpdate(9, true, entries));
+            journal.listLog().commit(9, "127.0.0.1:9", list);
+            journal.listLog().close();
             journal.write();
         }
         int door;
--- a/app/src/test/java/wrenreach/app/ServeTest.java
+++ b/app/src/test/java/wrenreach/app/ServeTest.java
@@ -134,7 +134,7 @@
     /** Guards the sample against going stale: each example file under deploy/ is sound. */
     @Test void theExampleOfAnOperatorsFileIsSound() throws Exception {
         assertThat(new OperatorCommand().run(List.of("check", "deploy/operator.toml"), System.out, System.err)).isZero();
-        assertThat(wrenreach.operator.OperatorFile.read(Path.of("deploy/operator.toml"), Parts.sections()).shown())
+        assertThat(wrenreach.operator.OperatorFile.read(Path.of("deploy/operator.toml"), Parts.sections()).effectiveValues())
                 .extracting(shown -> shown.key()).contains("log.format");
     }
 }
--- a/app/src/test/java/wrenreach/app/WrongNode.java
+++ b/app/src/test/java/wrenreach/app/WrongNode.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
-import wrenreach.Choice;
-import wrenreach.api.Answer;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
 import wrenreach.held.Journal;
 import wrenreach.held.Ledger;
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
 /** A node as a process that is wrong on purpose; started as serve is, with the kind of wrong in a system property. */
@@ -76,25 +76,25 @@
     }
 
     private static Dispatcher module(Wrong wrong, Settings settings) {
-        Choice sound = new Choice(settings);
+        DeliveryDispatcher sound = new DeliveryDispatcher(settings);
         return new Dispatcher() {
             private int count;
 
-            private List<Answer> twist(List<Answer> answers) {
-                List<Answer> twisted = new ArrayList<>(answers);
+            private List<Action> twist(List<Action> answers) {
+                List<Action> twisted = new ArrayList<>(answers);
                 if (wrong == Wrong.FORGETS_ENDINGS) {
-                    twisted.removeIf(a -> (a instanceof Answer.Bounce || a instanceof Answer.Defer) && count++ % 3 == 0);
+                    twisted.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
                 } else if (wrong == Wrong.CALLS_IT_HARMLESS) {
-                    twisted.replaceAll(a -> a instanceof Answer.Bounce bounce ? new Answer.Defer(bounce.mail(), 0) : a);
+                    twisted.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
                 }
                 return twisted;
             }
 
-            @Override public List<Answer> admit(Mail mail, long now) {
+            @Override public List<Action> admit(Mail mail, long now) {
                 return twist(sound.admit(mail, now));
             }
 
-            @Override public List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now) {
+            @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
                 Outcome told = outcome;
                 boolean mayHaveRun = outcome instanceof Outcome.ServerError || outcome instanceof Outcome.TimedOut;
                 if (wrong == Wrong.SENDS_ONCE_ONLY_AGAIN && mayHaveRun) {
@@ -103,19 +103,19 @@
                 } else if (wrong == Wrong.DEAF_TO_WAITS && outcome instanceof Outcome.Rejected) {
                     told = new Outcome.Rejected(0);
                 }
-                return twist(sound.ended(connect, told, report, done, now));
+                return twist(sound.attemptEnded(connect, told, report, done, now));
             }
 
-            @Override public List<Answer> withdrawn(Mail mail, long now) {
+            @Override public List<Action> withdrawn(Mail mail, long now) {
                 return twist(sound.withdrawn(mail, now));
             }
 
-            @Override public List<Answer> listed(Listing listing, long now) {
-                return wrong == Wrong.DEAF_TO_LISTS && count++ > 0 ? List.of() : twist(sound.listed(listing, now));
+            @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
+                return wrong == Wrong.DEAF_TO_LISTS && count++ > 0 ? List.of() : twist(sound.endpointsUpdated(listing, now));
             }
 
-            @Override public List<Answer> next(long now) {
-                return twist(sound.next(now));
+            @Override public List<Action> nextActions(long now) {
+                return twist(sound.nextActions(now));
             }
         };
     }
--- a/bench/src/main/java/wrenreach/bench/LedgerRun.java
+++ b/bench/src/main/java/wrenreach/bench/LedgerRun.java
@@ -19,7 +19,7 @@
 import wrenreach.held.HeldMail;
 import wrenreach.held.Journal;
 import wrenreach.held.Ledger;
-import wrenreach.held.PastConnect;
+import wrenreach.held.RecordedAttempt;
 import wrenreach.held.Submission;
 import wrenreach.ledger.StoreLedger;
 
@@ -114,7 +114,7 @@
     private static HeldMail take(Ledger ledger, int number) {
         HeldMail mail = new HeldMail(new Submission("mail-" + number, "key-" + number % 50, "order", "shop", "tag-" + number,
                 number % 9, new byte[BODY]), number);
-        ledger.taken(mail);
+        ledger.accepted(mail);
         return mail;
     }
 
@@ -122,8 +122,8 @@
         for (int i = 0; i < mails; i++) {
             HeldMail mail = take(ledger, made + i);
             under.add(mail);
-            ledger.connecting(mail, new PastConnect(0, "endpoint-" + i % 20, 0, made, false));
-            ledger.over(under.poll());
+            ledger.attemptStarted(mail, new RecordedAttempt(0, "endpoint-" + i % 20, 0, made, false));
+            ledger.completed(under.poll());
         }
         return made + mails;
     }
--- a/bench/src/main/java/wrenreach/bench/capacity/FleetSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/FleetSlopes.java
@@ -6,14 +6,14 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import wrenreach.Choice;
-import wrenreach.api.Answer;
-import wrenreach.api.Listing;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.api.Action;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
 import wrenreach.api.Settings.Effect;
-import wrenreach.api.Settings.RepeatGroup;
-import wrenreach.state.Connect;
+import wrenreach.api.Settings.DeduplicationScope;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Destination;
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
@@ -29,26 +29,26 @@
     /** The receiver's limit in calls a second, what it takes when it returns cold, and the overload it bears. */
     private static final double LIMIT = 10, COLD = 0.3, BEARS = 2;
 
-    private record Event(long at, int node, Connect ends, Mail comes) { }
+    private record Event(long at, int node, DeliveryAttempt ends, Mail comes) { }
 
     private FleetSlopes() { }
 
     static void measure(long seed, String build, int nodes, Consumer<Measurement> taker) {
-        List<Choice> choices = new ArrayList<>();
+        List<DeliveryDispatcher> choices = new ArrayList<>();
         List<Endpoint> endpoints = new ArrayList<>();
         PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
                 : Integer.compare(a.node, b.node));
         Random random = new Random(seed);
         long start = 1000 * S;
         for (int i = 0; i < nodes; i++) {
-            Choice choice = new Choice(settings(i, nodes, seed));
+            DeliveryDispatcher choice = new DeliveryDispatcher(settings(i, nodes, seed));
             Endpoint endpoint = new Endpoint(1, new Destination(1), 0, 0);
-            choice.listed(new Listing(Listing.Scope.WHOLE, List.of(new Listing.Entry(endpoint, Listing.State.READY, LIMIT))), start);
+            choice.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE, List.of(new EndpointUpdate.Entry(endpoint, EndpointUpdate.State.READY, LIMIT))), start);
             choices.add(choice);
             endpoints.add(endpoint);
             // Each node has a few mails, that wait for the whole outage.
             for (int m = 0; m < 3; m++) {
-                Mail mail = new Mail(i * 10L + m, endpoint.to, null, 0, 0, start, start + DOWN + 10 * BACK);
+                Mail mail = new Mail(i * 10L + m, endpoint.destination, null, 0, 0, start, start + DOWN + 10 * BACK);
                 events.add(new Event(start + (long) (random.nextDouble() * 2 * S), i, null, mail));
             }
         }
@@ -61,11 +61,11 @@
         double worst = 0;
         for (long now = start; now < back + BACK; now += TICK) {
             boolean[] woken = new boolean[nodes];
-            List<Answer>[] said = newLists(nodes);
+            List<Action>[] said = newLists(nodes);
             while (!events.isEmpty() && events.peek().at <= now) {
                 Event e = events.poll();
                 woken[e.node] = true;
-                said[e.node].addAll(e.comes != null ? choices.get(e.node).admit(e.comes, now) : choices.get(e.node).ended(e.ends,
+                said[e.node].addAll(e.comes != null ? choices.get(e.node).admit(e.comes, now) : choices.get(e.node).attemptEnded(e.ends,
                         e.ends.sentAt < back ? new Outcome.ConnectFailed() : new Outcome.Delivered(), new double[0], e.ends.sentAt >= back, now));
             }
             for (int i = 0; i < nodes; i++) {
@@ -73,14 +73,14 @@
                     continue;
                 }
                 wakes[i] = wakes[i] <= now ? Long.MAX_VALUE : wakes[i];
-                said[i].addAll(choices.get(i).next(now));
-                for (Answer answer : said[i]) {
-                    if (answer instanceof Answer.Wake wake) {
+                said[i].addAll(choices.get(i).nextActions(now));
+                for (Action answer : said[i]) {
+                    if (answer instanceof Action.WakeUp wake) {
                         wakes[i] = Math.min(wakes[i], now + wake.delay());
-                    } else if (answer instanceof Answer.Note) {
+                    } else if (answer instanceof Action.LogNote) {
                         notes += now < back ? 1 : 0;
-                    } else if (answer instanceof Answer.Send send) {
-                        events.add(new Event(now + 5 * MS, i, send.connect(), null));
+                    } else if (answer instanceof Action.Send send) {
+                        events.add(new Event(now + 5 * MS, i, send.attempt(), null));
                         if (now < back) {
                             down++;
                         } else {
@@ -107,8 +107,8 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Answer>[] newLists(int nodes) {
-        List<Answer>[] lists = new List[nodes];
+    private static List<Action>[] newLists(int nodes) {
+        List<Action>[] lists = new List[nodes];
         java.util.Arrays.setAll(lists, i -> new ArrayList<>());
         return lists;
     }
@@ -116,7 +116,7 @@
     private static Settings settings(int me, int nodes, long seed) {
         return new Settings(me, nodes, 0, TICK, seed, 1000, 100, 1000, 1, false, true, true, 2 * S, 5 * S, S, false, 10 * S, true,
                 false, 0.1, -1, -1, List.of(new Settings.QueueClass(2500 * MS, DOWN + 20 * BACK, 1, 0.3, false, Effect.REDELIVERABLE,
-                RepeatGroup.ALL, 7500 * MS, false)), List.of(new Settings.Kind(false, 1)), List.of(),
+                DeduplicationScope.ALL, 7500 * MS, false)), List.of(new Settings.DestinationKind(false, 1)), List.of(),
                 new Settings.Rules(20 * MS, 500 * MS, COLD, 10 * S, BEARS, TIP, 300 * MS));
     }
 }
--- a/bench/src/main/java/wrenreach/bench/capacity/HeldSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/HeldSlopes.java
@@ -22,7 +22,7 @@
         try (Journal journal = Journal.open(state, limit)) {
             long endsBy = 1000 * System.currentTimeMillis() + 3_600_000_000L;
             for (int i = 0; i < held; i++) {
-                journal.taken(new HeldMail(new Submission("held-" + i, "5", "order", "shop", "key-" + i, 1, new byte[BODY]), endsBy));
+                journal.accepted(new HeldMail(new Submission("held-" + i, "5", "order", "shop", "key-" + i, 1, new byte[BODY]), endsBy));
                 if (i % 1000 == 999) {
                     journal.write();
                 }
--- a/decisions/src/main/java/wrenreach/RepeatPolicy.java
+++ b/decisions/src/main/java/wrenreach/RetryPolicy.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import wrenreach.api.Settings;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
 
@@ -12,12 +12,12 @@
  *
  * <p>Times in microseconds. Holds no state of its own.
  */
-final class RepeatPolicy {
+final class RetryPolicy {
     private final List<Settings.QueueClass> classes;
     private final long tick;
 
     /** tick: how late a process may be; a repeat has to come so much before its window ends. */
-    RepeatPolicy(List<Settings.QueueClass> classes, long tick) {
+    RetryPolicy(List<Settings.QueueClass> classes, long tick) {
         this.classes = classes;
         this.tick = tick;
     }
@@ -28,12 +28,12 @@
         if (kind.effect() == Settings.Effect.REDELIVERABLE) {
             return true;
         }
-        for (Connect earlier : message.connects) {
+        for (DeliveryAttempt earlier : message.attempts) {
             if (earlier.neverRan) {
                 continue;
             }
             boolean atMostOnce = kind.effect() == Settings.Effect.ONCE_ONLY;
-            if (atMostOnce || now > repeatsUntil(message, earlier) || !inOneGroup(kind, earlier.endpoint, endpoint)) {
+            if (atMostOnce || now > deduplicatedUntil(message, earlier) || !inSameScope(kind, earlier.endpoint, endpoint)) {
                 return false;
             }
         }
@@ -41,18 +41,18 @@
     }
 
     /** Until when a repeat of what this attempt may have done is known as one. */
-    long repeatsUntil(Mail message, Connect attempt) {
-        return attempt.sentAt + classes.get(message.queueClass).repeatWindow() - 2 * tick;
+    long deduplicatedUntil(Mail message, DeliveryAttempt attempt) {
+        return attempt.sentAt + classes.get(message.queueClass).deduplicationWindow() - 2 * tick;
     }
 
-    private static boolean inOneGroup(Settings.QueueClass kind, Endpoint a, Endpoint b) {
-        return a == b || kind.repeatGroup() == Settings.RepeatGroup.ALL
-                || kind.repeatGroup() == Settings.RepeatGroup.ZONE && a.zone == b.zone;
+    private static boolean inSameScope(Settings.QueueClass kind, Endpoint a, Endpoint b) {
+        return a == b || kind.deduplicationScope() == Settings.DeduplicationScope.ALL
+                || kind.deduplicationScope() == Settings.DeduplicationScope.ZONE && a.zone == b.zone;
     }
 
     /** Whether one of its attempts may have taken effect. */
     static boolean mayHaveRun(Mail message) {
-        for (Connect attempt : message.connects) {
+        for (DeliveryAttempt attempt : message.attempts) {
             if (!attempt.neverRan) {
                 return true;
             }
@@ -66,9 +66,9 @@
         if (kind.effect() == Settings.Effect.REDELIVERABLE || !mayHaveRun(message)) {
             return true;
         }
-        if (kind.effect() == Settings.Effect.ONCE_ONLY || kind.repeatGroup() != Settings.RepeatGroup.ALL) {
+        if (kind.effect() == Settings.Effect.ONCE_ONLY || kind.deduplicationScope() != Settings.DeduplicationScope.ALL) {
             return false;
         }
-        return message.connects.stream().allMatch(attempt -> attempt.neverRan || now <= attempt.sentAt + kind.repeatWindow());
+        return message.attempts.stream().allMatch(attempt -> attempt.neverRan || now <= attempt.sentAt + kind.deduplicationWindow());
     }
 }
--- a/decisions/src/main/java/wrenreach/api/Answer.java
+++ b/decisions/src/main/java/wrenreach/api/Action.java
@@ -1,43 +1,43 @@
 package wrenreach.api;
 
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
 
 /** What the module wants done. */
-public sealed interface Answer {
+public sealed interface Action {
     /** Make this connect; it is cut off at its own cutAt. */
-    record Send(Connect connect) implements Answer { }
+    record Send(DeliveryAttempt attempt) implements Action { }
 
     /** Stop waiting for this connect. */
-    record Revoke(Connect connect) implements Answer { }
+    record Cancel(DeliveryAttempt attempt) implements Action { }
 
     /** End the mail undelivered; handing it in again is harmless. retryAfter 0: no advice. */
-    record Defer(Mail mail, long retryAfter, EndReason reason) implements Answer {
+    record Defer(Mail mail, long retryAfter, EndReason reason) implements Action {
         public Defer(Mail mail, long retryAfter) {
             this(mail, retryAfter, EndReason.UNKNOWN);
         }
     }
 
     /** End the mail for good. */
-    record Bounce(Mail mail, EndReason reason) implements Answer {
+    record Bounce(Mail mail, EndReason reason) implements Action {
         public Bounce(Mail mail) {
             this(mail, EndReason.UNKNOWN);
         }
     }
 
     /** Call next() again after this long. */
-    record Wake(long delay) implements Answer { }
+    record WakeUp(long delay) implements Action { }
 
     /** Give idle connections to this endpoint back. */
-    record Release(Endpoint endpoint) implements Answer { }
+    record ReleaseConnections(Endpoint endpoint) implements Action { }
 
     /** Follow changes of the list of endpoints. */
-    record FollowList() implements Answer { }
+    record SubscribeToList() implements Action { }
 
     /** Ask once for the whole list of endpoints. */
-    record AskList() implements Answer { }
+    record FetchList() implements Action { }
 
     /** A line for the node's log. */
-    record Note(String text) implements Answer { }
+    record LogNote(String text) implements Action { }
 }
--- a/decisions/src/main/java/wrenreach/api/Dispatcher.java
+++ b/decisions/src/main/java/wrenreach/api/Dispatcher.java
@@ -1,7 +1,7 @@
 package wrenreach.api;
 
 import java.util.List;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
 /**
@@ -11,17 +11,17 @@
  */
 public interface Dispatcher {
     /** A mail was handed in; the module owes it one ending. */
-    List<Answer> admit(Mail mail, long now);
+    List<Action> admit(Mail mail, long now);
 
     /** A connect ended. report: load figures as the settings place them; done: nothing is owed any more. */
-    List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now);
+    List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now);
 
     /** Nobody wants the mail any more. */
-    List<Answer> withdrawn(Mail mail, long now);
+    List<Action> withdrawn(Mail mail, long now);
 
     /** News of the list of endpoints. */
-    List<Answer> listed(Listing listing, long now);
+    List<Action> endpointsUpdated(EndpointUpdate listing, long now);
 
     /** End of a turn, or a wake-up: what goes out now, what ends, when to ask again. */
-    List<Answer> next(long now);
+    List<Action> nextActions(long now);
 }
--- a/decisions/src/main/java/wrenreach/api/Listing.java
+++ b/decisions/src/main/java/wrenreach/api/EndpointUpdate.java
@@ -4,7 +4,7 @@
 import wrenreach.state.Endpoint;
 
 /** News of the list of endpoints. */
-public record Listing(Scope scope, List<Entry> entries) {
+public record EndpointUpdate(Scope scope, List<Entry> entries) {
     /** How much of the list it is. */
     public enum Scope { CHANGES, WHOLE, CACHED, FAILED }
 
--- a/decisions/src/main/java/wrenreach/api/Outcome.java
+++ b/decisions/src/main/java/wrenreach/api/Outcome.java
@@ -14,7 +14,7 @@
     record ServerError() implements Outcome { }
 
     /** Turned away unseen; pause is 0 where no wait was told. */
-    record Rejected(long pause) implements Outcome {
+    record Rejected(long retryAfter) implements Outcome {
         @Override public boolean neverRan() {
             return true;
         }
--- a/decisions/src/main/java/wrenreach/api/SettingsText.java
+++ b/decisions/src/main/java/wrenreach/api/SettingsText.java
@@ -25,57 +25,57 @@
     }
 
     private Settings settings(long seed) {
-        List<String> names = list("Feedback.Names");
-        return new Settings(count("Me", 0), Math.max(1, count("GroupSize", 1)), count("Zone", 0), time("Tick"), seed,
-                needed("Limits.MaxOpen"), needed("FamilyInfo.MaxCalls"), count("Limits.TryLimit", 1),
-                Math.max(1, count("Limits.MaxStreams", 1)), flag("Limits.ParallelTries"), flag("Limits.Cancelling"),
-                flag("Limits.RetryAfter"), time("Limits.MaxRetryAfter", 0), time("Limits.ConnIdle", 0),
-                time("Limits.ConnectTimeout", 0), "ask".equals(values.get("Discovery")),
-                time("Rules.MustAskIn", 0), List.of("nominal", "rough").contains(word("Weights")),
-                "rough".equals(word("Weights")), number("OverShareWorth", 1), names.indexOf("x0"),
+        List<String> names = splitList("Feedback.Names");
+        return new Settings(optionalCount("Me", 0), Math.max(1, optionalCount("GroupSize", 1)), optionalCount("Zone", 0), durationMicros("Tick"), seed,
+                requiredCount("Limits.MaxOpen"), requiredCount("FamilyInfo.MaxCalls"), optionalCount("Limits.TryLimit", 1),
+                Math.max(1, optionalCount("Limits.MaxStreams", 1)), optionalFlag("Limits.ParallelTries"), optionalFlag("Limits.Cancelling"),
+                optionalFlag("Limits.RetryAfter"), durationMicros("Limits.MaxRetryAfter", 0), durationMicros("Limits.ConnIdle", 0),
+                durationMicros("Limits.ConnectTimeout", 0), "ask".equals(values.get("Discovery")),
+                durationMicros("Rules.MustAskIn", 0), List.of("nominal", "rough").contains(text("Weights")),
+                "rough".equals(text("Weights")), optionalNumber("OverShareWorth", 1), names.indexOf("x0"),
                 names.indexOf("x1"), classes(), kinds(), tenants(), rules());
     }
 
     private List<Settings.QueueClass> classes() {
         List<Settings.QueueClass> classes = new ArrayList<>();
-        for (int i = 0; i < needed("Classes.count"); i++) {
+        for (int i = 0; i < requiredCount("Classes.count"); i++) {
             String at = "Classes." + i + ".";
-            classes.add(new Settings.QueueClass(time(at + "Promise"), time(at + "Deadline"),
-                    number(at + "Value", 1), number(at + "LateShare", 0),
-                    "by_half".equals(word("FamilyInfo.Decay")), effect(at + "Effect"), group(at + "KeyScope"),
-                    time(at + "Window", 0), flag(at + "InTurn")));
+            classes.add(new Settings.QueueClass(durationMicros(at + "Promise"), durationMicros(at + "Deadline"),
+                    optionalNumber(at + "Value", 1), optionalNumber(at + "LateShare", 0),
+                    "by_half".equals(text("FamilyInfo.Decay")), effect(at + "Effect"), deduplicationScope(at + "KeyScope"),
+                    durationMicros(at + "Window", 0), optionalFlag(at + "InTurn")));
         }
         return classes;
     }
 
-    private List<Settings.Kind> kinds() {
-        List<String> apart = list("FamilyInfo.KindApart");
-        List<String> batch = list("FamilyInfo.BatchByKind");
-        int count = Math.max(list("Kinds").size(), Math.max(apart.size(), batch.size()));
-        List<Settings.Kind> kinds = new ArrayList<>();
+    private List<Settings.DestinationKind> kinds() {
+        List<String> apart = splitList("FamilyInfo.KindApart");
+        List<String> batch = splitList("FamilyInfo.BatchByKind");
+        int count = Math.max(splitList("Kinds").size(), Math.max(apart.size(), batch.size()));
+        List<Settings.DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            kinds.add(new Settings.Kind(i < apart.size() && bool("FamilyInfo.KindApart", apart.get(i)),
-                    i < batch.size() ? (int) parse("FamilyInfo.BatchByKind", batch.get(i)) : 1));
+            kinds.add(new Settings.DestinationKind(i < apart.size() && parseBoolean("FamilyInfo.KindApart", apart.get(i)),
+                    i < batch.size() ? (int) parseNumber("FamilyInfo.BatchByKind", batch.get(i)) : 1));
         }
         return kinds;
     }
 
     private List<Settings.Tenant> tenants() {
         List<Settings.Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < count("Tenants.count", 0); i++) {
-            tenants.add(new Settings.Tenant(number("Tenants." + i + ".QuotaPerS", 0)));
+        for (int i = 0; i < optionalCount("Tenants.count", 0); i++) {
+            tenants.add(new Settings.Tenant(optionalNumber("Tenants." + i + ".QuotaPerS", 0)));
         }
         return tenants;
     }
 
     private Settings.Rules rules() {
-        return new Settings.Rules(time("Rules.AnswerSlack", 0), time("Rules.DrainGrace", 0),
-                number("Rules.ColdFrom", 1), time("Rules.Cold", 0), number("Rules.OverloadFactor", 1),
-                time("Rules.TipAfter", 0), time("Rules.OrderSettle", 0));
+        return new Settings.Rules(durationMicros("Rules.AnswerSlack", 0), durationMicros("Rules.DrainGrace", 0),
+                optionalNumber("Rules.ColdFrom", 1), durationMicros("Rules.Cold", 0), optionalNumber("Rules.OverloadFactor", 1),
+                durationMicros("Rules.TipAfter", 0), durationMicros("Rules.OrderSettle", 0));
     }
 
     private Settings.Effect effect(String path) {
-        return switch (required(path)) {
+        return switch (requiredText(path)) {
             case "pure" -> Settings.Effect.REDELIVERABLE;
             case "token" -> Settings.Effect.TAGGED;
             case "side_effect" -> Settings.Effect.ONCE_ONLY;
@@ -83,28 +83,28 @@
         };
     }
 
-    private Settings.RepeatGroup group(String path) {
+    private Settings.DeduplicationScope deduplicationScope(String path) {
         String word = values.get(path);
         if (word == null || word.isEmpty() || word.equals("all") || word.equals("silent")) {
-            return Settings.RepeatGroup.ALL;
+            return Settings.DeduplicationScope.ALL;
         }
         return switch (word) {
-            case "zone" -> Settings.RepeatGroup.ZONE;
-            case "cell" -> Settings.RepeatGroup.ENDPOINT;
+            case "zone" -> Settings.DeduplicationScope.ZONE;
+            case "cell" -> Settings.DeduplicationScope.ENDPOINT;
             default -> throw unreadable(path, word);
         };
     }
 
-    private String word(String path) {
+    private String text(String path) {
         return values.getOrDefault(path, "");
     }
 
-    private List<String> list(String path) {
-        String value = word(path);
+    private List<String> splitList(String path) {
+        String value = text(path);
         return value.isEmpty() ? List.of() : Arrays.asList(value.split(","));
     }
 
-    private String required(String path) {
+    private String requiredText(String path) {
         String value = values.get(path);
         if (value == null || value.isEmpty()) {
             throw new IllegalArgumentException("setting " + path + " is missing");
@@ -112,35 +112,35 @@
         return value;
     }
 
-    private int needed(String path) {
-        return (int) parse(path, required(path));
+    private int requiredCount(String path) {
+        return (int) parseNumber(path, requiredText(path));
     }
 
-    private int count(String path, int otherwise) {
-        return (int) number(path, otherwise);
+    private int optionalCount(String path, int otherwise) {
+        return (int) optionalNumber(path, otherwise);
     }
 
-    private double number(String path, double otherwise) {
-        return word(path).isEmpty() ? otherwise : parse(path, word(path));
+    private double optionalNumber(String path, double otherwise) {
+        return text(path).isEmpty() ? otherwise : parseNumber(path, text(path));
     }
 
-    private long time(String path) {
-        return micros(parse(path, required(path)));
+    private long durationMicros(String path) {
+        return toMicros(parseNumber(path, requiredText(path)));
     }
 
-    private long time(String path, long otherwise) {
-        return word(path).isEmpty() ? otherwise : micros(parse(path, word(path)));
+    private long durationMicros(String path, long otherwise) {
+        return text(path).isEmpty() ? otherwise : toMicros(parseNumber(path, text(path)));
     }
 
-    private static long micros(double seconds) {
+    private static long toMicros(double seconds) {
         return Math.round(seconds * 1_000_000);
     }
 
-    private boolean flag(String path) {
-        return !word(path).isEmpty() && bool(path, word(path));
+    private boolean optionalFlag(String path) {
+        return !text(path).isEmpty() && parseBoolean(path, text(path));
     }
 
-    private static boolean bool(String path, String value) {
+    private static boolean parseBoolean(String path, String value) {
         if (value.equalsIgnoreCase("true") || value.equals("1")) {
             return true;
         }
@@ -150,7 +150,7 @@
         throw unreadable(path, value);
     }
 
-    private static double parse(String path, String value) {
+    private static double parseNumber(String path, String value) {
         try {
             double number = Double.parseDouble(value);
             if (number >= 0 && Double.isFinite(number)) {
--- a/decisions/src/main/java/wrenreach/state/Breaker.java
+++ b/decisions/src/main/java/wrenreach/state/CircuitBreakerState.java
@@ -1,15 +1,15 @@
 package wrenreach.state;
 
 /** What a breaker remembers. */
-public final class Breaker {
+public final class CircuitBreakerState {
     /** Closed lets mails pass, open parks them, half-open lets single trials pass. */
     public enum Phase { CLOSED, OPEN, HALF_OPEN }
 
     public Phase phase = Phase.CLOSED;
-    public int failedRun;
-    public int trialRun;
+    public int consecutiveFailures;
+    public int successfulTrials;
     public long openedAt;
-    public long restsUntil;
+    public long openUntil;
     public long closedAt;
-    public Connect trial;
+    public DeliveryAttempt trial;
 }
--- a/decisions/src/main/java/wrenreach/state/Destination.java
+++ b/decisions/src/main/java/wrenreach/state/Destination.java
@@ -8,9 +8,9 @@
     public final int number;
     public final List<Endpoint> endpoints = new ArrayList<>(4);
     public final List<Route> routes = new ArrayList<>(4);
-    public final List<Mail> line = new ArrayList<>();
-    public int out;
-    public boolean known;
+    public final List<Mail> queue = new ArrayList<>();
+    public int inFlight;
+    public boolean listed;
     public boolean busy;
 
     public Destination(int number) {
@@ -18,13 +18,13 @@
     }
 
     /** Whether mails, calls or a wait hang on what stands here: it can't be forgotten. */
-    public boolean owes(long now) {
-        return busy || out > 0 || !line.isEmpty() || routes.stream().anyMatch(r -> r.heldUntil > now || !r.calls.isEmpty());
+    public boolean hasPendingWork(long now) {
+        return busy || inFlight > 0 || !queue.isEmpty() || routes.stream().anyMatch(r -> r.backoffUntil > now || !r.calls.isEmpty());
     }
 
     /** Whether something that its receivers did still bears on what is decided: it is not as new. */
-    public boolean remembers(long now) {
-        return owes(now) || routes.stream().anyMatch(r -> r.cold || r.breaker.phase != Breaker.Phase.CLOSED
-                || r.breaker.failedRun > 0);
+    public boolean hasLearnedState(long now) {
+        return hasPendingWork(now) || routes.stream().anyMatch(r -> r.inSlowStart || r.breaker.phase != CircuitBreakerState.Phase.CLOSED
+                || r.breaker.consecutiveFailures > 0);
     }
 }
--- a/decisions/src/main/java/wrenreach/state/Directory.java
+++ b/decisions/src/main/java/wrenreach/state/Directory.java
@@ -6,13 +6,13 @@
 
 /** The objects that ids at the door stand for; I is the kind of id of endpoints and order keys. */
 public final class Directory<I> {
-    private static final int FIRST_SWEEP = 64;
+    private static final int MIN_SWEEP_SIZE = 64;
 
     private final Map<Integer, Destination> destinations = new HashMap<>();
     private final Map<I, Endpoint> endpoints = new HashMap<>();
-    private final Map<I, OrderKey> keys = new HashMap<>();
-    private int sweepAt = FIRST_SWEEP;
-    private int sweepEndpointsAt = FIRST_SWEEP;
+    private final Map<I, OrderKey> orderKeys = new HashMap<>();
+    private int keySweepSize = MIN_SWEEP_SIZE;
+    private int endpointSweepSize = MIN_SWEEP_SIZE;
 
     public Destination destination(int number) {
         return destinations.computeIfAbsent(number, Destination::new);
@@ -21,13 +21,13 @@
     /** Whether a destination of this number has been named by a list. */
     public boolean listed(int number) {
         Destination d = destinations.get(number);
-        return d != null && d.known;
+        return d != null && d.listed;
     }
 
     /** The number stands for a new destination from now on; whoever knows this one can tell that it is of no use. */
-    public void forget(Destination destination) {
+    public void removeDestination(Destination destination) {
         destinations.remove(destination.number, destination);
-        destination.known = false;
+        destination.listed = false;
     }
 
     /** The endpoint of this id, or null. */
@@ -40,12 +40,12 @@
     }
 
     /** The id stands for another endpoint from now on. */
-    public void drop(I id) {
+    public void removeEndpoint(I id) {
         endpoints.remove(id);
     }
 
-    public OrderKey key(I id) {
-        return keys.computeIfAbsent(id, i -> new OrderKey());
+    public OrderKey orderKey(I id) {
+        return orderKeys.computeIfAbsent(id, i -> new OrderKey());
     }
 
     /**
@@ -53,13 +53,13 @@
      * that was gone for a short time only comes back as it was.
      */
     public void sweep(long now) {
-        if (keys.size() >= sweepAt) {
-            keys.values().removeIf(key -> key.mails.isEmpty() && key.restsUntil <= now);
-            sweepAt = 2 * keys.size() + FIRST_SWEEP;
+        if (orderKeys.size() >= keySweepSize) {
+            orderKeys.values().removeIf(key -> key.mails.isEmpty() && key.blockedUntil <= now);
+            keySweepSize = 2 * orderKeys.size() + MIN_SWEEP_SIZE;
         }
-        if (endpoints.size() >= sweepEndpointsAt) {
-            endpoints.values().removeIf(e -> !e.listed && e.out == 0);
-            sweepEndpointsAt = 2 * endpoints.size() + FIRST_SWEEP;
+        if (endpoints.size() >= endpointSweepSize) {
+            endpoints.values().removeIf(e -> !e.listed && e.inFlight == 0);
+            endpointSweepSize = 2 * endpoints.size() + MIN_SWEEP_SIZE;
         }
     }
 }
--- a/decisions/src/main/java/wrenreach/state/Mail.java
+++ b/decisions/src/main/java/wrenreach/state/Mail.java
@@ -6,29 +6,29 @@
 /** A mail that the node took. */
 public final class Mail {
     public final long id;
-    public final Destination to;
-    public final OrderKey key;
+    public final Destination destination;
+    public final OrderKey orderKey;
     public final int queueClass;
     public final int tenant;
-    public final long arrived;
-    public final long endsBy;
-    public final List<Connect> connects = new ArrayList<>(2);
-    public long dueBy;
-    public boolean overShare;
+    public final long arrivedAt;
+    public final long deadline;
+    public final List<DeliveryAttempt> attempts = new ArrayList<>(2);
+    public long softDeadline;
+    public boolean overQuota;
     public long notBefore;
     public long sequence;
-    public int out;
-    public boolean over;
+    public int inFlight;
+    public boolean finished;
     /** Taken on by an earlier process: it is owed a try, whatever comes beside it. */
-    public boolean owed;
+    public boolean recovered;
 
     public Mail(long id, Destination to, OrderKey key, int queueClass, int tenant, long arrived, long endsBy) {
         this.id = id;
-        this.to = to;
-        this.key = key;
+        this.destination = to;
+        this.orderKey = key;
         this.queueClass = queueClass;
         this.tenant = tenant;
-        this.arrived = arrived;
-        this.endsBy = endsBy;
+        this.arrivedAt = arrived;
+        this.deadline = endsBy;
     }
 }
--- a/decisions/src/test/java/wrenreach/state/DirectoryTest.java
+++ b/decisions/src/test/java/wrenreach/state/DirectoryTest.java
@@ -17,10 +17,10 @@
     }
 
     /** Guards memory: new endpoints under new ids replace old ones for as long as a node runs. */
-    @Test void endpointsThatNoListNamesAreDroppedUnlessACallIsOut() {
+    @Test void unlistedEndpointsAreRemovedUnlessACallIsInFlight() {
         Endpoint listed = endpoint(-1, true);
         Endpoint called = endpoint(-2, false);
-        called.out = 1;
+        called.inFlight = 1;
         for (int i = 0; i < 1000; i++) {
             endpoint(i, false);
             directory.sweep(0);
--- a/lab/src/main/java/wrenreach/lab/Baseline.java
+++ b/lab/src/main/java/wrenreach/lab/Baseline.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.Function;
-import wrenreach.Choice;
-import wrenreach.api.Answer;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
-import wrenreach.state.Breaker;
+import wrenreach.state.CircuitBreakerState;
 import wrenreach.state.Call;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Destination;
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
@@ -40,7 +40,7 @@
     private final PriorityQueue<Again> resting = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
             : Long.compare(a.mail.sequence, b.mail.sequence));
     private final List<Mail> waiting = new ArrayList<>();
-    private List<Answer> answers = new ArrayList<>();
+    private List<Action> answers = new ArrayList<>();
     private long sequence;
     private long turns;
     private long wakeAt = Long.MIN_VALUE;
@@ -61,7 +61,7 @@
 
     /** As many tries as the settings allow, a quarter of the target delay apart. */
     static Baseline fixedRests(Settings settings) {
-        return new Baseline(settings, settings.connectLimit(), settings.classes().get(0).targetDelay() / 4, 0);
+        return new Baseline(settings, settings.attemptLimit(), settings.classes().get(0).targetDelay() / 4, 0);
     }
 
     /**
@@ -70,32 +70,32 @@
      * here it is a quarter of the first class's lifetime.
      */
     static Baseline plainBreaker(Settings settings) {
-        return new Baseline(settings, settings.connectLimit(), settings.classes().get(0).targetDelay() / 4,
+        return new Baseline(settings, settings.attemptLimit(), settings.classes().get(0).targetDelay() / 4,
                 settings.classes().get(0).lifetime() / 4);
     }
 
     /** By the name that tables show; the module itself is among them. */
     static Map<String, Function<Settings, Dispatcher>> all() {
         Map<String, Function<Settings, Dispatcher>> all = new LinkedHashMap<>();
-        all.put("wrenreach", Choice::new);
+        all.put("wrenreach", DeliveryDispatcher::new);
         all.put("one try", Baseline::oneTry);
         all.put("fixed rests", Baseline::fixedRests);
         all.put("plain breaker", Baseline::plainBreaker);
         return all;
     }
 
-    private boolean passes(Breaker breaker, long now) {
-        if (breaker.phase == Breaker.Phase.OPEN && now >= breaker.restsUntil) {
-            breaker.phase = Breaker.Phase.HALF_OPEN;
-            breaker.trialRun = 0;
+    private boolean passes(CircuitBreakerState breaker, long now) {
+        if (breaker.phase == CircuitBreakerState.Phase.OPEN && now >= breaker.openUntil) {
+            breaker.phase = CircuitBreakerState.Phase.HALF_OPEN;
+            breaker.successfulTrials = 0;
         }
-        return breakerRest == 0 || breaker.phase == Breaker.Phase.CLOSED
-                || breaker.phase == Breaker.Phase.HALF_OPEN && breaker.trial == null;
+        return breakerRest == 0 || breaker.phase == CircuitBreakerState.Phase.CLOSED
+                || breaker.phase == CircuitBreakerState.Phase.HALF_OPEN && breaker.trial == null;
     }
 
     /** What a connect's end means to its breaker: told waits and what never came to be a call mean nothing. */
-    private void heard(Connect connect, Outcome outcome, long now) {
-        Breaker breaker = connect.endpoint.route.breaker;
+    private void heard(DeliveryAttempt connect, Outcome outcome, long now) {
+        CircuitBreakerState breaker = connect.endpoint.route.breaker;
         boolean trial = breaker.trial == connect;
         breaker.trial = trial ? null : breaker.trial;
         boolean ok = outcome instanceof Outcome.Delivered;
@@ -103,46 +103,46 @@
                 || outcome instanceof Outcome.NotSent || outcome instanceof Outcome.LocalFault) {
             return;
         }
-        if (breaker.phase == Breaker.Phase.HALF_OPEN) {
+        if (breaker.phase == CircuitBreakerState.Phase.HALF_OPEN) {
             if (!ok) {
                 open(breaker, now);
-            } else if (++breaker.trialRun >= CLOSES) {
-                breaker.phase = Breaker.Phase.CLOSED;
-                breaker.failedRun = 0;
+            } else if (++breaker.successfulTrials >= CLOSES) {
+                breaker.phase = CircuitBreakerState.Phase.CLOSED;
+                breaker.consecutiveFailures = 0;
             }
         } else if (ok) {
-            breaker.failedRun = 0;
-        } else if (breaker.phase == Breaker.Phase.CLOSED && ++breaker.failedRun >= OPENS) {
+            breaker.consecutiveFailures = 0;
+        } else if (breaker.phase == CircuitBreakerState.Phase.CLOSED && ++breaker.consecutiveFailures >= OPENS) {
             open(breaker, now);
         }
     }
 
-    private void open(Breaker breaker, long now) {
-        breaker.phase = Breaker.Phase.OPEN;
-        breaker.restsUntil = now + breakerRest;
-        breaker.failedRun = 0;
+    private void open(CircuitBreakerState breaker, long now) {
+        breaker.phase = CircuitBreakerState.Phase.OPEN;
+        breaker.openUntil = now + breakerRest;
+        breaker.consecutiveFailures = 0;
     }
 
-    @Override public List<Answer> admit(Mail mail, long now) {
+    @Override public List<Action> admit(Mail mail, long now) {
         mail.sequence = sequence++;
         waiting.add(mail);
         return take();
     }
 
-    @Override public List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now) {
+    @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
         out--;
         connect.open = false;
-        connect.endpoint.out--;
+        connect.endpoint.inFlight--;
         connect.neverRan = outcome.neverRan();
         heard(connect, outcome, now);
         Mail mail = connect.mail;
-        if (done || mail.over) {
-            mail.over = true;
+        if (done || mail.finished) {
+            mail.finished = true;
             return take();
         }
         boolean mayGo = outcome.neverRan()
                 || settings.classes().get(mail.queueClass).effect() == Settings.Effect.REDELIVERABLE;
-        if (mayGo && mail.connects.size() < tries && now + rest < mail.endsBy) {
+        if (mayGo && mail.attempts.size() < tries && now + rest < mail.deadline) {
             resting.add(new Again(now + rest, mail));
         } else {
             end(mail, outcome.neverRan());
@@ -151,51 +151,51 @@
     }
 
     private void end(Mail mail, boolean harmless) {
-        if (!mail.over) {
-            mail.over = true;
-            boolean ran = mail.connects.stream().anyMatch(c -> !c.neverRan);
-            answers.add(harmless && !ran ? new Answer.Defer(mail, 0) : new Answer.Bounce(mail));
+        if (!mail.finished) {
+            mail.finished = true;
+            boolean ran = mail.attempts.stream().anyMatch(c -> !c.neverRan);
+            answers.add(harmless && !ran ? new Action.Defer(mail, 0) : new Action.Bounce(mail));
         }
     }
 
-    @Override public List<Answer> withdrawn(Mail mail, long now) {
-        mail.over = true;
+    @Override public List<Action> withdrawn(Mail mail, long now) {
+        mail.finished = true;
         return take();
     }
 
-    @Override public List<Answer> listed(Listing listing, long now) {
-        for (Listing.Entry entry : listing.entries()) {
+    @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
+        for (EndpointUpdate.Entry entry : listing.entries()) {
             Endpoint e = entry.endpoint();
-            if (entry.state() == Listing.State.GONE) {
+            if (entry.state() == EndpointUpdate.State.GONE) {
                 e.ready = e.listed = false;
-                e.to.endpoints.remove(e);
+                e.destination.endpoints.remove(e);
                 continue;
             }
             if (!e.listed) {
                 e.listed = true;
-                e.to.known = true;
-                e.to.endpoints.add(e);
-                if (e.to.routes.isEmpty()) {
-                    e.to.routes.add(new Route("destination " + e.to.number, e.kind, 1, 1, 1));
+                e.destination.listed = true;
+                e.destination.endpoints.add(e);
+                if (e.destination.routes.isEmpty()) {
+                    e.destination.routes.add(new Route("destination " + e.destination.number, e.kind, 1, 1, 1));
                 }
-                e.route = e.to.routes.get(0);
+                e.route = e.destination.routes.get(0);
             }
-            e.ready = entry.state() == Listing.State.READY;
+            e.ready = entry.state() == EndpointUpdate.State.READY;
         }
         return take();
     }
 
-    @Override public List<Answer> next(long now) {
+    @Override public List<Action> nextActions(long now) {
         while (!resting.isEmpty() && resting.peek().at <= now) {
             waiting.add(resting.poll().mail);
         }
         for (Iterator<Mail> mails = waiting.iterator(); mails.hasNext();) {
             Mail mail = mails.next();
-            if (mail.over || mail.endsBy <= now) {
+            if (mail.finished || mail.deadline <= now) {
                 mails.remove();
                 end(mail, true);
-            } else if (out < settings.outLimit()) {
-                Endpoint to = choose(mail.to, now);
+            } else if (out < settings.inFlightLimit()) {
+                Endpoint to = choose(mail.destination, now);
                 if (to != null) {
                     mails.remove();
                     send(mail, to, now);
@@ -205,7 +205,7 @@
         // One wake at a time: each brings a turn, and each turn asks here.
         if (wakeAt <= now && !(waiting.isEmpty() && resting.isEmpty())) {
             wakeAt = now + settings.tick();
-            answers.add(new Answer.Wake(settings.tick()));
+            answers.add(new Action.WakeUp(settings.tick()));
         }
         return take();
     }
@@ -219,18 +219,18 @@
     }
 
     private void send(Mail mail, Endpoint to, long now) {
-        long cutAt = Math.min(mail.endsBy, now + settings.classes().get(mail.queueClass).targetDelay());
-        Connect connect = new Connect(mail, to, now, cutAt, new Call(now));
-        mail.connects.add(connect);
-        Breaker breaker = to.route.breaker;
-        breaker.trial = breaker.phase == Breaker.Phase.HALF_OPEN ? connect : breaker.trial;
+        long cutAt = Math.min(mail.deadline, now + settings.classes().get(mail.queueClass).targetDelay());
+        DeliveryAttempt connect = new DeliveryAttempt(mail, to, now, cutAt, new Call(now));
+        mail.attempts.add(connect);
+        CircuitBreakerState breaker = to.route.breaker;
+        breaker.trial = breaker.phase == CircuitBreakerState.Phase.HALF_OPEN ? connect : breaker.trial;
         out++;
-        to.out++;
-        answers.add(new Answer.Send(connect));
+        to.inFlight++;
+        answers.add(new Action.Send(connect));
     }
 
-    private List<Answer> take() {
-        List<Answer> taken = answers;
+    private List<Action> take() {
+        List<Action> taken = answers;
         answers = new ArrayList<>();
         return taken;
     }
--- a/lab/src/main/java/wrenreach/lab/Experiment.java
+++ b/lab/src/main/java/wrenreach/lab/Experiment.java
@@ -19,7 +19,7 @@
 import java.util.stream.IntStream;
 import wrenreach.frame.Subsystem;
 import wrenreach.net.Addresses;
-import wrenreach.operator.Fault;
+import wrenreach.operator.FileProblem;
 import wrenreach.operator.Key;
 import wrenreach.operator.OperatorFile;
 import wrenreach.operator.Section;
@@ -69,7 +69,7 @@
             if (datagrams > 0) {
                 int own = Integer.parseInt(node.substring(1));
                 text = text.replace("{peers}", IntStream.range(0, day.nodes()).filter(other -> other != own)
-                        .mapToObj(other -> "\"" + Addresses.text(relays.peer(own, other, datagrams)) + "\"")
+                        .mapToObj(other -> "\"" + Addresses.format(relays.peer(own, other, datagrams)) + "\"")
                         .collect(Collectors.joining(", ")));
             }
             return day.store() ? text + "\n[store]\ndurability = \"sync\"\n" : text;
@@ -79,12 +79,12 @@
         OperatorFile inMemory(String node) {
             try {
                 return has(node) ? parse() : OperatorFile.none();
-            } catch (OperatorFile.Unusable e) {
+            } catch (OperatorFile.InvalidFileException e) {
                 throw new IllegalStateException("objected to before", e);
             }
         }
 
-        private OperatorFile parse() throws OperatorFile.Unusable {
+        private OperatorFile parse() throws OperatorFile.InvalidFileException {
             return OperatorFile.parse(Path.of("operator.toml"), operator.file.getBytes(StandardCharsets.UTF_8),
                     subsystems().stream().<Section<?>>map(Subsystem::section).toList());
         }
@@ -110,9 +110,9 @@
             if (!real && !operator.file.isEmpty()) {
                 try {
                     parse();
-                } catch (OperatorFile.Unusable e) {
+                } catch (OperatorFile.InvalidFileException e) {
                     e.faults().forEach(fault -> all.add("operator: what can be switched on in virtual time does not fit: "
-                            + fault.at("operator.toml")));
+                            + fault.format("operator.toml")));
                 }
             }
             builds.forEach((node, place) -> {
@@ -151,9 +151,9 @@
     static final class Unusable extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(Path file, List<Fault> faults) {
-            super(String.join(System.lineSeparator(), faults.stream().sorted(Comparator.comparingInt(Fault::line))
-                    .map(fault -> fault.at(file)).toList()));
+        Unusable(Path file, List<FileProblem> faults) {
+            super(String.join(System.lineSeparator(), faults.stream().sorted(Comparator.comparingInt(FileProblem::line))
+                    .map(fault -> fault.format(file)).toList()));
         }
     }
 
@@ -168,11 +168,11 @@
     static Experiment read(Path file) throws IOException, Unusable {
         byte[] bytes = Files.readAllBytes(file);
         String text = new String(bytes, StandardCharsets.UTF_8);
-        List<Fault> faults = new ArrayList<>();
+        List<FileProblem> faults = new ArrayList<>();
         OperatorFile read = null;
         try {
             read = OperatorFile.parse(file, bytes, List.of(ABOUT, FLEET, TRAFFIC, FAULTS, SWEEP, OPERATOR));
-        } catch (OperatorFile.Unusable e) {
+        } catch (OperatorFile.InvalidFileException e) {
             faults.addAll(e.faults());
         }
         List<Scenario.QueueClass> classes = new ArrayList<>();
@@ -182,7 +182,7 @@
             JsonNode tree = new TomlMapper().readTree(text);
             for (String table : List.of("experiment", "fleet", "traffic")) {
                 if (!tree.path(table).isObject()) {
-                    faults.add(new Fault(0, table, "is missing: [" + table + "]"));
+                    faults.add(new FileProblem(0, table, "is missing: [" + table + "]"));
                 }
             }
             int length = read == null ? Scenario.Figure.LENGTH.byDefault : lengthMs(read);
@@ -221,7 +221,7 @@
         schedule.sort(Comparator.comparingInt(Scenario.Fault::atMs));
         Sweep sweep = read.section(SWEEP).orElse(new Sweep(SIZE, List.of(1)));
         if (sweep.values.isEmpty() || sweep.values.stream().anyMatch(value -> value < 1 || value > 100_000_000)) {
-            throw new Unusable(file, List.of(new Fault(line(text, "values"), "sweep.values", "is a list of numbers of at least 1")));
+            throw new Unusable(file, List.of(new FileProblem(line(text, "values"), "sweep.values", "is a list of numbers of at least 1")));
         }
         Setup setup = new Setup(read.section(OPERATOR).orElse(Setup.NONE.operator), builds, fleet.datagrams);
         return new Experiment(about, new Scenario(about.firstSeed, figures, classes, schedule), sweep, setup);
@@ -232,14 +232,14 @@
     }
 
     /** Each text of a list by itself, so that one fault does not hide the next. */
-    private static void each(JsonNode tree, String text, String table, String key, List<Fault> faults, Consumer<String> takes) {
+    private static void each(JsonNode tree, String text, String table, String key, List<FileProblem> faults, Consumer<String> takes) {
         for (JsonNode one : tree.path(table).path(key)) {
             try {
                 if (one.isTextual()) {
                     takes.accept(one.textValue());
                 }
             } catch (IllegalArgumentException e) {
-                faults.add(new Fault(line(text, one.textValue()), table + "." + key, e.getMessage()));
+                faults.add(new FileProblem(line(text, one.textValue()), table + "." + key, e.getMessage()));
             }
         }
     }
--- a/lab/src/main/java/wrenreach/lab/Fact.java
+++ b/lab/src/main/java/wrenreach/lab/Fact.java
@@ -1,7 +1,7 @@
 package wrenreach.lab;
 
 import java.util.Locale;
-import wrenreach.state.Breaker;
+import wrenreach.state.CircuitBreakerState;
 
 /** What happened in a world, as its own parties saw it; at: nanoseconds since its begin. */
 sealed interface Fact {
@@ -45,7 +45,7 @@
     record Serves(long at, String node) implements Fact { }
 
     /** A node's breaker went into this phase; only reports go by it, no rule does. */
-    record Turned(long at, String node, String route, Breaker.Phase phase) implements Fact { }
+    record Turned(long at, String node, String route, CircuitBreakerState.Phase phase) implements Fact { }
 
     /** A receiver was gone and is back, cold; a receiver was pushed over: more came than it could bear. */
     record Back(long at, String receiver) implements Fact { }
--- a/lab/src/main/java/wrenreach/lab/Figures.java
+++ b/lab/src/main/java/wrenreach/lab/Figures.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.HdrHistogram.Histogram;
 import wrenreach.api.Settings;
-import wrenreach.state.Breaker;
+import wrenreach.state.CircuitBreakerState;
 
 /**
  * What came of played days, by mails as their writers know them: a mail handed in again counts once. importance: that of
@@ -29,7 +29,7 @@
     static Figures of(List<Fact> facts, Settings settings, int broken) {
         Map<String, Fact.HandedIn> first = new HashMap<>();
         Map<String, Fact.HandedIn> mailOf = new HashMap<>();
-        Map<String, Breaker.Phase> phases = new HashMap<>();
+        Map<String, CircuitBreakerState.Phase> phases = new HashMap<>();
         Set<String> done = new HashSet<>();
         List<Point> breakers = new ArrayList<>();
         Histogram delays = histogram();
@@ -56,16 +56,16 @@
                 inTime += delay <= queueClass.targetDelay() ? 1 : 0;
                 worth += worth(queueClass, delay);
             } else if (fact instanceof Fact.Turned turned) {
-                Breaker.Phase was = phases.put(turned.node() + "/" + turned.route(), turned.phase());
-                open += count(turned.phase(), Breaker.Phase.OPEN) - count(was, Breaker.Phase.OPEN);
-                halfOpen += count(turned.phase(), Breaker.Phase.HALF_OPEN) - count(was, Breaker.Phase.HALF_OPEN);
+                CircuitBreakerState.Phase was = phases.put(turned.node() + "/" + turned.route(), turned.phase());
+                open += count(turned.phase(), CircuitBreakerState.Phase.OPEN) - count(was, CircuitBreakerState.Phase.OPEN);
+                halfOpen += count(turned.phase(), CircuitBreakerState.Phase.HALF_OPEN) - count(was, CircuitBreakerState.Phase.HALF_OPEN);
                 breakers.add(new Point(turned.at(), open, halfOpen));
             }
         }
         return new Figures(first.size(), done.size(), inTime, importance, worth, calls, broken, delays, breakers);
     }
 
-    private static int count(Breaker.Phase is, Breaker.Phase asked) {
+    private static int count(CircuitBreakerState.Phase is, CircuitBreakerState.Phase asked) {
         return is == asked ? 1 : 0;
     }
 
@@ -73,7 +73,7 @@
     static double worth(Settings.QueueClass c, long delay) {
         double late = c.lifetime() == c.targetDelay() ? 1 : Math.max(0, delay - c.targetDelay())
                 / (double) (c.lifetime() - c.targetDelay());
-        return c.importance() * (1 - (1 - c.lateShare()) * Math.min(1, late));
+        return c.importance() * (1 - (1 - c.lateImportanceShare()) * Math.min(1, late));
     }
 
     /** Several days as one; the breakers are those of the first. */
--- a/lab/src/main/java/wrenreach/lab/LabCommand.java
+++ b/lab/src/main/java/wrenreach/lab/LabCommand.java
@@ -19,7 +19,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import wrenreach.Choice;
+import wrenreach.DeliveryDispatcher;
 import wrenreach.frame.Command;
 import wrenreach.operator.Unit;
 
@@ -62,7 +62,7 @@
             } else if (what.equals("explore") && args.size() == 1 && line.getOptionValue("seeds", "").matches("\\d{1,9}\\.\\.\\d{1,9}")) {
                 String[] seeds = line.getOptionValue("seeds").split("\\.\\.");
                 return new Exploring(Path.of(line.getOptionValue("out", "found")), out).explore(Long.parseLong(seeds[0]),
-                        Long.parseLong(seeds[1]), 1000 * Unit.DURATION.read(line.getOptionValue("for", "60s")), jobs);
+                        Long.parseLong(seeds[1]), 1000 * Unit.DURATION.parse(line.getOptionValue("for", "60s")), jobs);
             } else if (what.equals("replay") && args.size() == 2) {
                 return replay(Path.of(args.get(1)), out, err);
             }
@@ -205,13 +205,13 @@
         }
 
         private static Day played(Scenario scenario) {
-            Play play = Play.of(scenario, Choice::new);
+            Play play = Play.of(scenario, DeliveryDispatcher::new);
             return new Day(scenario, Rules.judge(scenario, play.world.facts, play.settings, play.world.now()), play.world.now());
         }
 
         private void keep(Day day) throws IOException {
             Rules.Break first = day.breaks.get(0);
-            Scenario least = new Explore(Choice::new).shrink(day.scenario, first.rule());
+            Scenario least = new Explore(DeliveryDispatcher::new).shrink(day.scenario, first.rule());
             Path file = folder.resolve(first.rule().name().toLowerCase(Locale.ROOT) + "-" + day.scenario.seed() + ".day");
             Files.writeString(file, "# " + first.what() + System.lineSeparator() + least.text());
             out.printf("seed %d breaks %s: %s; kept as %s with %d faults%n", day.scenario.seed(), first.rule(), first.what(), file,
@@ -227,7 +227,7 @@
             err.println(file + ": " + e.getMessage());
             return 2;
         }
-        Play play = Play.of(scenario, Choice::new);
+        Play play = Play.of(scenario, DeliveryDispatcher::new);
         play.timeline().forEach(out::println);
         List<Rules.Break> breaks = Rules.judge(scenario, play.world.facts, play.settings, play.world.now());
         breaks.forEach(one -> out.printf(Locale.ROOT, "%10.4f s  BROKEN %s: %s%n", (one.at() - World.BEGIN) / 1e9, one.rule(),
--- a/lab/src/main/java/wrenreach/lab/LabNode.java
+++ b/lab/src/main/java/wrenreach/lab/LabNode.java
@@ -156,7 +156,7 @@
         operator.section(subsystem.section()).ifPresent(section -> {
             try {
                 node.add(subsystem.section().name(), subsystem.start(section, node));
-            } catch (Subsystem.CantStart e) {
+            } catch (Subsystem.StartException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -303,7 +303,7 @@
                 byte[] moved = json.replaceFirst("\"discovery\":\"([0-9.]+):\\d+\"", "\"discovery\":\"$1:" + port + "\"")
                         .getBytes(StandardCharsets.US_ASCII);
                 node.reconfigured(() -> new ByteArrayInputStream(moved));
-            } catch (Reload.Unusable e) {
+            } catch (Reload.RejectedFileException e) {
                 throw new IllegalStateException(e);
             }
         });
--- a/lab/src/main/java/wrenreach/lab/Network.java
+++ b/lab/src/main/java/wrenreach/lab/Network.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import wrenreach.relay.Way;
+import wrenreach.relay.LinkDirection;
 
 /** What lies between parties: emulated, or the machine's loopback. All of it is used on the world's one thread. */
 abstract class Network {
@@ -84,7 +84,7 @@
     abstract void connect(Party from, InetSocketAddress own, InetSocketAddress to, Connecting asks);
 
     /** One way between two parties, by their names; who changes it says so with {@link #changed}. */
-    abstract Way way(String from, String to);
+    abstract LinkDirection way(String from, String to);
 
     /** What is wrong between the two, either way, has changed. */
     abstract void changed(String a, String b);
--- a/lab/src/main/java/wrenreach/lab/Play.java
+++ b/lab/src/main/java/wrenreach/lab/Play.java
@@ -18,7 +18,7 @@
 import wrenreach.api.Dispatcher;
 import wrenreach.api.Settings;
 import wrenreach.node.Config;
-import wrenreach.relay.Trouble;
+import wrenreach.relay.Impairment;
 
 /** Plays one scenario: builds its world, lets its faults happen and hands back what happened. */
 final class Play {
@@ -330,7 +330,7 @@
                         : fault.kind() == Scenario.Kind.CUT_CLIENTS ? "clients"
                         : receivers.get(Math.floorMod(Integer.parseInt(fault.target()), receivers.size())).name;
                 trouble(List.of(new FaultText.OneWay(node.name, other), new FaultText.OneWay(other, node.name)),
-                        new Trouble(Trouble.Kind.CUT, 0, 0), length);
+                        new Impairment(Impairment.Kind.CUT, 0, 0), length);
             }
             case KILL_IN_WRITE -> node.killInWrite(length);
             case WALL_AHEAD, WALL_BEHIND -> {
@@ -369,8 +369,8 @@
                 world.network.relay(link.from(), link.to(), true);
                 world.later(length, () -> world.network.relay(link.from(), link.to(), false));
             });
-            case PARTITION, MUTE, DEAF, RING -> trouble(ways, new Trouble(Trouble.Kind.CUT, 0, 0), length);
-            default -> trouble(ways, new Trouble(Trouble.Kind.valueOf(fault.kind().name()), fault.figure(), fault.more()), length);
+            case PARTITION, MUTE, DEAF, RING -> trouble(ways, new Impairment(Impairment.Kind.CUT, 0, 0), length);
+            default -> trouble(ways, new Impairment(Impairment.Kind.valueOf(fault.kind().name()), fault.figure(), fault.more()), length);
         }
     }
 
@@ -381,7 +381,7 @@
         return List.copyOf(once);
     }
 
-    private void trouble(List<FaultText.OneWay> ways, Trouble trouble, long length) {
+    private void trouble(List<FaultText.OneWay> ways, Impairment trouble, long length) {
         ways.forEach(way -> world.network.way(way.from(), way.to()).begin(trouble));
         links(ways).forEach(link -> world.network.changed(link.from(), link.to()));
         world.later(length, () -> {
--- a/lab/src/main/java/wrenreach/lab/Relays.java
+++ b/lab/src/main/java/wrenreach/lab/Relays.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 import wrenreach.relay.TcpRelay;
-import wrenreach.relay.Trouble;
+import wrenreach.relay.Impairment;
 import wrenreach.relay.UdpRelay;
-import wrenreach.relay.Way;
+import wrenreach.relay.LinkDirection;
 
 /**
  * The relays between the parties of one fleet of processes: from clients to each node, from each node to its platform and to
@@ -24,7 +24,7 @@
  * so that who asks is known. All of it is used on one loop. Bounded by the fleet: nodes times nodes, receivers and three more.
  */
 final class Relays implements Play.Places {
-    private static final Trouble CUT = new Trouble(Trouble.Kind.CUT, 0, 0);
+    private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
     /** Nets of a run: as seen by clients, platforms, receivers behind node 0 and so on, datagrams from node 0 and so on. */
     private static final int FRONT = 10, PLATFORM = 11, RECEIVERS = 20, PEERS = 60, ASKS = 100, MOST = 200;
 
@@ -44,7 +44,7 @@
     private final int nodes;
     private final DoubleSupplier chance;
     private final Consumer<String> log;
-    private final Map<String, Way> ways = new HashMap<>();
+    private final Map<String, LinkDirection> ways = new HashMap<>();
     private final List<Lies> relays = new ArrayList<>();
     private final Map<String, UdpRelay> peers = new LinkedHashMap<>();
     private final Map<InetAddress, Network.Party> askers = new HashMap<>();
@@ -155,8 +155,8 @@
         return parties.values();
     }
 
-    Way way(String from, String to) {
-        return ways.computeIfAbsent(from + ">" + to, name -> new Way());
+    LinkDirection way(String from, String to) {
+        return ways.computeIfAbsent(from + ">" + to, name -> new LinkDirection());
     }
 
     void changed(String a, String b) {
@@ -165,8 +165,8 @@
     }
 
     private String told(String a, String b) {
-        Way way = way(a, b);
-        return a + ">" + b + (way.sound() ? " sound" : way.cut() ? " cut" : way.refuses() ? " refuses" : " troubled");
+        LinkDirection way = way(a, b);
+        return a + ">" + b + (way.isHealthy() ? " sound" : way.isCut() ? " cut" : way.refuses() ? " refuses" : " troubled");
     }
 
     void reset(String a, String b) {
@@ -180,7 +180,7 @@
         log.accept(a + "-" + b + ": relay " + (dead ? "dies" : "starts"));
         relays.stream().filter(one -> one.between(a, b)).forEach(one -> {
             if (dead) {
-                one.relay.die();
+                one.relay.stop();
             } else {
                 one.relay.start();
             }
@@ -198,7 +198,7 @@
             return;
         }
         relays.stream().filter(one -> one.of(party)).forEach(one -> {
-            for (Way way : List.of(way(one.from, one.to), way(one.to, one.from))) {
+            for (LinkDirection way : List.of(way(one.from, one.to), way(one.to, one.from))) {
                 if (on) {
                     way.begin(CUT);
                 } else {
@@ -217,8 +217,8 @@
 
     /** All of it is gone, walls too, which no loop closes by itself. */
     void close() {
-        relays.forEach(one -> one.relay.die());
-        peers.values().forEach(UdpRelay::die);
+        relays.forEach(one -> one.relay.stop());
+        peers.values().forEach(UdpRelay::stop);
     }
 
     /** What each link carried, a line each. */
--- a/lab/src/main/java/wrenreach/lab/Rules.java
+++ b/lab/src/main/java/wrenreach/lab/Rules.java
@@ -266,7 +266,7 @@
                 }
                 if (kind.effect() == Settings.Effect.ONCE_ONLY) {
                     broke(Rule.TWICE, run.at(), run.id() + " may run once only and ran again");
-                } else if (!run.givenUp() && !heldUp(run.at()) && run.at() - before > 1000 * kind.repeatWindow()) {
+                } else if (!run.givenUp() && !heldUp(run.at()) && run.at() - before > 1000 * kind.deduplicationWindow()) {
                     broke(Rule.TWICE, run.at(), run.id() + " ran again " + (run.at() - before) / MS + " ms later, outside its window");
                 }
             }
--- a/lab/src/main/java/wrenreach/lab/SocketNetwork.java
+++ b/lab/src/main/java/wrenreach/lab/SocketNetwork.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import wrenreach.relay.TcpRelay;
-import wrenreach.relay.Way;
+import wrenreach.relay.LinkDirection;
 
 /**
  * Connections of the stand-ins over the machine's loopback. Between them and the nodes lie relays, which tell who asks and
@@ -151,7 +151,7 @@
                 });
     }
 
-    @Override Way way(String from, String to) {
+    @Override LinkDirection way(String from, String to) {
         return relays.way(from, to);
     }
 
--- a/lab/src/main/java/wrenreach/lab/Story.java
+++ b/lab/src/main/java/wrenreach/lab/Story.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import wrenreach.Choice;
+import wrenreach.DeliveryDispatcher;
 
 /**
  * A day of an in-memory fleet, told in steps: what is given, what goes wrong, and what came of it over several seeds. The same
@@ -70,7 +70,7 @@
             if (!day.objections(false).isEmpty()) {
                 throw new IllegalArgumentException(String.join("; ", day.objections(false)));
             }
-            plays.add(Play.of(day, Choice::new));
+            plays.add(Play.of(day, DeliveryDispatcher::new));
         }
     }
 
--- a/lab/src/main/java/wrenreach/lab/Watched.java
+++ b/lab/src/main/java/wrenreach/lab/Watched.java
@@ -3,12 +3,12 @@
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import wrenreach.api.Answer;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
-import wrenreach.state.Breaker;
-import wrenreach.state.Connect;
+import wrenreach.state.CircuitBreakerState;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 import wrenreach.state.Route;
 
@@ -18,7 +18,7 @@
     private final World world;
     private final String node;
     /** Those that are not closed. */
-    private final Map<Route, Breaker.Phase> phases = new IdentityHashMap<>();
+    private final Map<Route, CircuitBreakerState.Phase> phases = new IdentityHashMap<>();
 
     Watched(Dispatcher module, World world, String node) {
         this.module = module;
@@ -26,10 +26,10 @@
         this.node = node;
     }
 
-    private List<Answer> looked(List<Answer> answers) {
-        for (Answer answer : answers) {
-            if (answer instanceof Answer.Send send) {
-                look(send.connect().endpoint.route);
+    private List<Action> looked(List<Action> answers) {
+        for (Action answer : answers) {
+            if (answer instanceof Action.Send send) {
+                look(send.attempt().endpoint.route);
             }
         }
         return answers;
@@ -39,32 +39,32 @@
         if (route == null) {
             return;
         }
-        Breaker.Phase is = route.breaker.phase;
-        Breaker.Phase was = is == Breaker.Phase.CLOSED ? phases.remove(route) : phases.put(route, is);
-        if (is != (was == null ? Breaker.Phase.CLOSED : was)) {
+        CircuitBreakerState.Phase is = route.breaker.phase;
+        CircuitBreakerState.Phase was = is == CircuitBreakerState.Phase.CLOSED ? phases.remove(route) : phases.put(route, is);
+        if (is != (was == null ? CircuitBreakerState.Phase.CLOSED : was)) {
             world.record(new Fact.Turned(world.now(), node, route.name, is));
         }
     }
 
-    @Override public List<Answer> admit(Mail mail, long now) {
+    @Override public List<Action> admit(Mail mail, long now) {
         return looked(module.admit(mail, now));
     }
 
-    @Override public List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now) {
-        List<Answer> answers = module.ended(connect, outcome, report, done, now);
+    @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
+        List<Action> answers = module.attemptEnded(connect, outcome, report, done, now);
         look(connect.endpoint.route);
         return looked(answers);
     }
 
-    @Override public List<Answer> withdrawn(Mail mail, long now) {
+    @Override public List<Action> withdrawn(Mail mail, long now) {
         return looked(module.withdrawn(mail, now));
     }
 
-    @Override public List<Answer> listed(Listing listing, long now) {
-        return looked(module.listed(listing, now));
+    @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
+        return looked(module.endpointsUpdated(listing, now));
     }
 
-    @Override public List<Answer> next(long now) {
-        return looked(module.next(now));
+    @Override public List<Action> nextActions(long now) {
+        return looked(module.nextActions(now));
     }
 }
--- a/lab/src/main/java/wrenreach/lab/WireNetwork.java
+++ b/lab/src/main/java/wrenreach/lab/WireNetwork.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wrenreach.relay.Trouble;
-import wrenreach.relay.Way;
+import wrenreach.relay.Impairment;
+import wrenreach.relay.LinkDirection;
 
 /** The emulated network: delay, fragments, cuts, refused and silent connects, half-open connections. */
 final class WireNetwork extends Network {
@@ -37,8 +37,8 @@
         private boolean vanished;
         private final Deque<Flight> toA = new ArrayDeque<>();
         private final Deque<Flight> toB = new ArrayDeque<>();
-        private final Way there;
-        private final Way back;
+        private final LinkDirection there;
+        private final LinkDirection back;
         private long lastToA;
         private long lastToB;
 
@@ -54,7 +54,7 @@
         @Override void send(End from, byte[] bytes) {
             boolean toB = from == endA;
             Party sender = toB ? a : b;
-            int passes = (toB ? there : back).passes(bytes.length);
+            int passes = (toB ? there : back).passedBytes(bytes.length);
             if (passes < bytes.length) {
                 piece(toB, sender, Arrays.copyOf(bytes, passes), true);
                 piece(toB, sender, Arrays.copyOfRange(bytes, passes, bytes.length), false);
@@ -109,9 +109,9 @@
         }
 
         private void carry(boolean toB, Party sender, int bytes, boolean first, Runnable work) {
-            Way way = toB ? there : back;
-            long at = Math.max(world.now() + delay(a, b) + way.delay(world::share), (toB ? lastToB : lastToA) + 1)
-                    + way.takes(bytes);
+            LinkDirection way = toB ? there : back;
+            long at = Math.max(world.now() + delay(a, b) + way.delayNanos(world::share), (toB ? lastToB : lastToA) + 1)
+                    + way.transferNanos(bytes);
             lastToB = toB ? at : lastToB;
             lastToA = toB ? lastToA : at;
             Flight flight = new Flight(at, work, first);
@@ -128,8 +128,8 @@
         private void arrive(boolean atB) {
             Deque<Flight> line = atB ? toB : toA;
             while (!line.isEmpty() && line.peekFirst().at <= world.now()) {
-                Way way = atB ? there : back;
-                if (way.cut() || way.halved() && !line.peekFirst().first) {
+                LinkDirection way = atB ? there : back;
+                if (way.isCut() || way.isTruncating() && !line.peekFirst().first) {
                     world.later(SENT_AGAIN, () -> arrive(atB));
                     return;
                 }
@@ -152,7 +152,7 @@
 
     private final World world;
     private final Map<InetSocketAddress, Listener> listeners = new HashMap<>();
-    private final Map<String, Map<String, Way>> ways = new HashMap<>();
+    private final Map<String, Map<String, LinkDirection>> ways = new HashMap<>();
     private final Map<InetSocketAddress, Mailbox> mailboxes = new HashMap<>();
 
     WireNetwork(World world) {
@@ -164,15 +164,15 @@
     }
 
     private boolean cut(Party a, Party b) {
-        return way(a.name, b.name).cut() || way(b.name, a.name).cut();
+        return way(a.name, b.name).isCut() || way(b.name, a.name).isCut();
     }
 
     private boolean refuses(Party a, Party b) {
         return way(a.name, b.name).refuses() || way(b.name, a.name).refuses();
     }
 
-    @Override Way way(String from, String to) {
-        return ways.computeIfAbsent(from, f -> new HashMap<>(2)).computeIfAbsent(to, t -> new Way());
+    @Override LinkDirection way(String from, String to) {
+        return ways.computeIfAbsent(from, f -> new HashMap<>(2)).computeIfAbsent(to, t -> new LinkDirection());
     }
 
     /** What is under way looks at its way when it arrives. */
@@ -191,7 +191,7 @@
     }
 
     @Override void relay(String a, String b, boolean dead) {
-        Trouble gone = new Trouble(Trouble.Kind.REFUSE, 0, 0);
+        Impairment gone = new Impairment(Impairment.Kind.REFUSE, 0, 0);
         if (dead) {
             way(a, b).begin(gone);
             reset(a, b);
@@ -222,9 +222,9 @@
         if (asked == null) {
             return;
         }
-        Way way = way(from.name, asked.party().name);
+        LinkDirection way = way(from.name, asked.party().name);
         for (int i = way.copies(world::share); i > 0; i--) {
-            world.later(delay(from, asked.party()) + way.delay(world::share) + way.overtaken(world::share), () -> {
+            world.later(delay(from, asked.party()) + way.delayNanos(world::share) + way.reorderingDelayNanos(world::share), () -> {
                 Mailbox mailbox = mailboxes.get(to);
                 if (mailbox != null && mailbox.party().up) {
                     mailbox.received(own, bytes);
@@ -304,7 +304,7 @@
             link.closedA |= isA;
             link.closedB |= !isA;
             world.at(world.now() + delay(link.a, link.b), () -> {
-                if (!(isA ? link.there : link.back).cut()) {
+                if (!(isA ? link.there : link.back).isCut()) {
                     link.end(isA);
                 }
             });
--- a/lab/src/test/java/wrenreach/lab/ExperimentTest.java
+++ b/lab/src/test/java/wrenreach/lab/ExperimentTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wrenreach.api.Settings;
-import wrenreach.state.Breaker;
+import wrenreach.state.CircuitBreakerState;
 
 class ExperimentTest {
     private static final Logger ROOT = Logger.getLogger("");
@@ -151,7 +151,7 @@
 
     @Test void figuresAreThoseOfTheFacts() {
         Settings.QueueClass urgent = new Settings.QueueClass(1_000_000, 3_000_000, 4, 0.5, false, Settings.Effect.TAGGED,
-                Settings.RepeatGroup.ALL, 0, true);
+                Settings.DeduplicationScope.ALL, 0, true);
         assertThat(Figures.worth(urgent, 900_000)).isEqualTo(4);
         assertThat(Figures.worth(urgent, 2_000_000)).isCloseTo(3, within(1e-9));
         assertThat(Figures.worth(urgent, 9_000_000)).isCloseTo(2, within(1e-9));
@@ -163,9 +163,9 @@
                 new Fact.HandedIn(2 * second, "m1.0", "n0", 0, 0, "k", "m1", 9 * second),
                 new Fact.Called(2 * second, "m0.1", "n0", "r0", 0, false), new Fact.Delivered(3 * second, "m0.1", "r0"),
                 new Fact.Delivered(4 * second, "m0.0", "r0"),
-                new Fact.Turned(5 * second, "n0", "d", Breaker.Phase.OPEN),
-                new Fact.Turned(6 * second, "n0", "d", Breaker.Phase.HALF_OPEN),
-                new Fact.Turned(7 * second, "n0", "d", Breaker.Phase.CLOSED));
+                new Fact.Turned(5 * second, "n0", "d", CircuitBreakerState.Phase.OPEN),
+                new Fact.Turned(6 * second, "n0", "d", CircuitBreakerState.Phase.HALF_OPEN),
+                new Fact.Turned(7 * second, "n0", "d", CircuitBreakerState.Phase.CLOSED));
         Figures figures = Figures.of(facts, base, 0);
         assertThat(figures.mails()).isEqualTo(2);
         assertThat(figures.delivered()).isEqualTo(1);
@@ -181,7 +181,7 @@
         Scenario day = Scenario.parse(List.of("seed 2", "rate 40", "length 9000", "fault down 0 at 2000 for 3000"));
         Play plain = Play.of(day, Baseline::plainBreaker);
         assertThat(plain.world.facts.stream().filter(f -> f instanceof Fact.Turned).map(f -> ((Fact.Turned) f).phase()))
-                .startsWith(Breaker.Phase.OPEN, Breaker.Phase.HALF_OPEN).endsWith(Breaker.Phase.CLOSED);
+                .startsWith(CircuitBreakerState.Phase.OPEN, CircuitBreakerState.Phase.HALF_OPEN).endsWith(CircuitBreakerState.Phase.CLOSED);
     }
 
     @Test void aFaultThatComesBackHitsTheNextOne() {
--- a/lab/src/test/java/wrenreach/lab/GroundTest.java
+++ b/lab/src/test/java/wrenreach/lab/GroundTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wrenreach.Choice;
+import wrenreach.DeliveryDispatcher;
 import wrenreach.api.Settings;
-import wrenreach.frame.Host;
+import wrenreach.frame.NodeContext;
 import wrenreach.frame.NodeEvent;
-import wrenreach.frame.Running;
+import wrenreach.frame.RunningSubsystem;
 import wrenreach.frame.Subsystem;
 import wrenreach.operator.Key;
 import wrenreach.operator.Section;
-import wrenreach.relay.Trouble;
+import wrenreach.relay.Impairment;
 
 /** One vocabulary of faults and one set of oracles, for the fleet in memory as for processes. */
 class GroundTest {
@@ -80,12 +80,12 @@
         List<String> heard = new ArrayList<>();
         mailbox(network, a, atA, heard);
         mailbox(network, b, atB, heard);
-        Trouble doubling = new Trouble(Trouble.Kind.DOUBLING, 1, 0);
+        Impairment doubling = new Impairment(Impairment.Kind.DOUBLING, 1, 0);
         network.way("n0", "n1").begin(doubling);
         network.datagram(a, atA, atB, "x".getBytes());
         network.datagram(b, atB, atA, "y".getBytes());
         world.play(2 * SECOND);
-        network.way("n0", "n1").begin(new Trouble(Trouble.Kind.CUT, 0, 0));
+        network.way("n0", "n1").begin(new Impairment(Impairment.Kind.CUT, 0, 0));
         network.datagram(a, atA, atB, "lost".getBytes());
         b.up = false;
         network.datagram(b, atB, atA, "z".getBytes());
@@ -110,7 +110,7 @@
     @ParameterizedTest
     @CsvSource({"nothing, true", "died, false", "closed, false", "troubled, false", "late, false", "lost, false"})
     void anUntrueEndIsCaughtWhereTheNodeCouldKnow(String also, boolean caught) throws Exception {
-        Settings settings = Play.of(Scenario.parse(List.of("rate 1", "length 600")), Choice::new).settings;
+        Settings settings = Play.of(Scenario.parse(List.of("rate 1", "length 600")), DeliveryDispatcher::new).settings;
         Scenario day = Scenario.parse(List.of("nodes 1", "destinations 1"));
         List<Fact> facts = new ArrayList<>(List.of(new Fact.Serves(SECOND, "n0"),
                 new Fact.HandedIn(2 * SECOND, "m0.0", "n0", 0, 0, "k", "m0", 10 * SECOND), new Fact.Answered(2 * SECOND, "m0.0", "n0", "OK")));
@@ -146,10 +146,10 @@
             return true;
         }
 
-        @Override public Running<Probe> start(Probe section, Host host) {
-            return new Running<>() {
-                @Override public Optional<Consumer<NodeEvent>> ear() {
-                    return Optional.of(event -> taken += event instanceof NodeEvent.MailTaken ? section.step() : 0);
+        @Override public RunningSubsystem<Probe> start(Probe section, NodeContext host) {
+            return new RunningSubsystem<>() {
+                @Override public Optional<Consumer<NodeEvent>> eventListener() {
+                    return Optional.of(event -> taken += event instanceof NodeEvent.MailAccepted ? section.step() : 0);
                 }
             };
         }
@@ -175,7 +175,7 @@
         Experiment one = experiment("", "file = \"[probe]\\nstep = 1000\"\nnodes = [\"n1\"]");
         assertThat(one.objections(false)).isEmpty();
         Counts.taken = 0;
-        Play play = Play.of(one.at(1, 0), Choice::new, one.setup(), world -> { });
+        Play play = Play.of(one.at(1, 0), DeliveryDispatcher::new, one.setup(), world -> { });
         long byN1 = play.world.facts.stream().filter(fact -> fact instanceof Fact.Answered answered && answered.node().equals("n1")
                 && answered.answer().equals("OK")).count();
         assertThat(byN1).isPositive();
--- a/lab/src/test/java/wrenreach/lab/LabTest.java
+++ b/lab/src/test/java/wrenreach/lab/LabTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import wrenreach.Choice;
-import wrenreach.api.Answer;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
 class LabTest {
@@ -54,68 +54,68 @@
         }
 
         @Override public Dispatcher apply(Settings settings) {
-            Choice sound = new Choice(settings);
+            DeliveryDispatcher sound = new DeliveryDispatcher(settings);
             return new Dispatcher() {
-                private final List<Answer> late = new ArrayList<>();
+                private final List<Action> late = new ArrayList<>();
                 private int count;
 
-                private List<Answer> twist(List<Answer> answers) {
-                    List<Answer> twisted = new ArrayList<>(answers);
+                private List<Action> twist(List<Action> answers) {
+                    List<Action> twisted = new ArrayList<>(answers);
                     if (Wrong.this == FORGETS_A_BOUNCE) {
-                        twisted.removeIf(a -> (a instanceof Answer.Bounce || a instanceof Answer.Defer) && count++ % 3 == 0);
+                        twisted.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
                     } else if (Wrong.this == ENDS_LATE) {
-                        late.addAll(twisted.stream().filter(a -> a instanceof Answer.Bounce || a instanceof Answer.Defer).toList());
+                        late.addAll(twisted.stream().filter(a -> a instanceof Action.Bounce || a instanceof Action.Defer).toList());
                         twisted.removeAll(late);
                     } else if (Wrong.this == CALLS_IT_HARMLESS) {
-                        twisted.replaceAll(a -> a instanceof Answer.Bounce bounce ? new Answer.Defer(bounce.mail(), 0) : a);
+                        twisted.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
                     }
                     return twisted;
                 }
 
-                @Override public List<Answer> admit(Mail mail, long now) {
-                    List<Answer> answers = twist(sound.admit(mail, now));
-                    if (Wrong.this == GIVES_UP_WHAT_IT_FINDS && mail.owed && !mail.over) {
+                @Override public List<Action> admit(Mail mail, long now) {
+                    List<Action> answers = twist(sound.admit(mail, now));
+                    if (Wrong.this == GIVES_UP_WHAT_IT_FINDS && mail.recovered && !mail.finished) {
                         answers.addAll(sound.withdrawn(mail, now));
-                        answers.add(new Answer.Defer(mail, 0));
+                        answers.add(new Action.Defer(mail, 0));
                     }
                     if (Wrong.this == LAST_GOES_FIRST || Wrong.this == MIXES_KEYS && count++ % 3 == 0) {
-                        mail.key.mails.remove(mail);
-                        mail.key.mails.addFirst(mail);
+                        mail.orderKey.mails.remove(mail);
+                        mail.orderKey.mails.addFirst(mail);
                     }
                     return answers;
                 }
 
-                @Override public List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now) {
+                @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
                     Outcome told = outcome;
                     if (outcome instanceof Outcome.Rejected full && Wrong.this == DEAF_TO_WAITS) {
                         told = new Outcome.Rejected(0);
                     } else if (outcome instanceof Outcome.Rejected full && Wrong.this == HALVES_WAITS) {
-                        told = new Outcome.Rejected(full.pause() / 3);
+                        told = new Outcome.Rejected(full.retryAfter() / 3);
                     } else if (Wrong.this == FORGETS_THAT_IT_RAN
                             && (outcome instanceof Outcome.TimedOut || outcome instanceof Outcome.ServerError)) {
                         told = new Outcome.NotSent(false);
                         connect.neverRan = true;
                     }
-                    return twist(sound.ended(connect, told, report, done, now));
+                    return twist(sound.attemptEnded(connect, told, report, done, now));
                 }
 
-                @Override public List<Answer> withdrawn(Mail mail, long now) {
+                @Override public List<Action> withdrawn(Mail mail, long now) {
                     return twist(sound.withdrawn(mail, now));
                 }
 
-                @Override public List<Answer> listed(Listing listing, long now) {
+                @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
                     if (Wrong.this == DEAF_TO_LISTS && count++ > 0) {
                         return List.of();
                     } else if (Wrong.this == KEEPS_THE_DRAINED) {
-                        return sound.listed(new Listing(listing.scope(), listing.entries().stream().map(e -> e.state()
-                                == Listing.State.DRAINING ? new Listing.Entry(e.endpoint(), Listing.State.READY, e.weight()) : e)
+                        return sound.endpointsUpdated(new EndpointUpdate(listing.scope(), listing.entries().stream().map(e -> e.state()
+                                == EndpointUpdate.State.DRAINING ? new EndpointUpdate.Entry(e.endpoint(), EndpointUpdate.State.READY, e.weight()) : e)
                                 .toList()), now);
                     }
-                    return twist(sound.listed(listing, now));
+                    return twist(sound.endpointsUpdated(listing, now));
                 }
 
-                @Override public List<Answer> next(long now) {
-                    List<Answer> answers = twist(sound.next(now));
+                @Override public List<Action> nextActions(long now) {
+                    List<Action> answers = twist(sound.nextActions(now));
                     if (Wrong.this == ENDS_LATE && count++ % 4000 == 3999) {
                         answers.addAll(late);
                         late.clear();
@@ -147,11 +147,11 @@
     @Test void theSameSeedGivesTheSameLogToTheByte() {
         for (long seed = 1; seed <= 20; seed++) {
             Scenario scenario = Scenario.drawn(seed);
-            assertThat(Play.of(scenario, Choice::new).world.print()).as("seed " + seed)
-                    .isEqualTo(Play.of(scenario, Choice::new).world.print());
+            assertThat(Play.of(scenario, DeliveryDispatcher::new).world.print()).as("seed " + seed)
+                    .isEqualTo(Play.of(scenario, DeliveryDispatcher::new).world.print());
         }
-        assertThat(Play.of(Scenario.drawn(1), Choice::new).world.print())
-                .isNotEqualTo(Play.of(Scenario.drawn(2), Choice::new).world.print());
+        assertThat(Play.of(Scenario.drawn(1), DeliveryDispatcher::new).world.print())
+                .isNotEqualTo(Play.of(Scenario.drawn(2), DeliveryDispatcher::new).world.print());
     }
 
     @Test void theSoundNodeKeepsTheRulesOnStrainingAndDrawnDays() throws Exception {
@@ -161,7 +161,7 @@
         }
         int delivered = 0;
         for (Scenario day : days) {
-            Play play = Play.of(day, Choice::new);
+            Play play = Play.of(day, DeliveryDispatcher::new);
             assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
             delivered += play.world.facts.stream().filter(fact -> fact instanceof Fact.Delivered).count();
         }
@@ -188,7 +188,7 @@
         for (int seed = 1; seed <= 3; seed++) {
             Scenario day = Scenario.parse(List.of("seed " + seed, "nodes 2", "rate 190", "length 10000", "fault down 0 at 2000 for 2500"));
             caught += breaks(day, plain).stream().anyMatch(one -> one.rule() == Rules.Rule.PUSHED_OVER) ? 1 : 0;
-            assertThat(breaks(day, Choice::new)).isEmpty();
+            assertThat(breaks(day, DeliveryDispatcher::new)).isEmpty();
         }
         assertThat(caught).isEqualTo(3);
     }
@@ -201,7 +201,7 @@
         int killed = 0;
         for (int write = 1; write <= 60; write++) {
             int at = write;
-            Play play = Play.of(day, Choice::new, world -> {
+            Play play = Play.of(day, DeliveryDispatcher::new, world -> {
                 LabNode node = (LabNode) world.nodes.get(0);
                 node.killAtWrite(at, moment, () -> world.later(600_000_000, node::start));
             });
@@ -222,7 +222,7 @@
         for (int seed = 1; seed <= 3; seed++) {
             Scenario day = Scenario.parse(List.of("seed " + seed, "nodes 2", "zones 2", "endpoints 2", "rate 30", "length 6000",
                     "fault " + kind + " 0 at 2000 for 1500"));
-            Play play = Play.of(day, Choice::new);
+            Play play = Play.of(day, DeliveryDispatcher::new);
             assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
             assertThat(play.world.facts.stream().filter(one -> one.at() >= World.BEGIN + 2000 * Play.MS)
                     .map(one -> one.getClass().getSimpleName()).dropWhile(name -> !name.equals(mark)))
@@ -243,7 +243,7 @@
             text.add("fault kill 0 at 2600 for 300");
         }
         Scenario day = Scenario.parse(text);
-        Play play = Play.of(day, Choice::new);
+        Play play = Play.of(day, DeliveryDispatcher::new);
         assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
         assertThat(play.world.facts.stream().filter(Fact.Died.class::isInstance)).as(day.text()).hasSize(killed ? 1 : 0);
         long full = World.BEGIN + 2000 * Play.MS;
@@ -269,7 +269,7 @@
         Scenario day = Scenario.parse(List.of("seed 5", "endpoints 3", "zones 1", "rate 1", "length " + (hour + 100_000),
                 "fault cut_platform 0 at 10000 for " + hour, "fault kill 0 at " + hour / 2 + " for 1000",
                 "fault drain 1 at " + (hour - 60_000) + " for 20000"));
-        Play play = Play.of(day, Choice::new);
+        Play play = Play.of(day, DeliveryDispatcher::new);
         assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
         for (int minute = 1; minute <= 60; minute++) {
             long from = World.BEGIN + minute * 60_000 * Play.MS;
@@ -292,7 +292,7 @@
             List<Path> days = files.filter(file -> file.toString().endsWith(".day")).sorted().toList();
             assertThat(days).isNotEmpty();
             for (Path day : days) {
-                assertThat(breaks(Scenario.parse(Files.readAllLines(day)), Choice::new)).as(day.toString()).isEmpty();
+                assertThat(breaks(Scenario.parse(Files.readAllLines(day)), DeliveryDispatcher::new)).as(day.toString()).isEmpty();
             }
         }
     }
--- a/lab/src/test/java/wrenreach/lab/ToldTest.java
+++ b/lab/src/test/java/wrenreach/lab/ToldTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import wrenreach.Choice;
-import wrenreach.api.Answer;
+import wrenreach.DeliveryDispatcher;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
 import wrenreach.node.Config;
 import wrenreach.operator.OperatorFile;
-import wrenreach.relay.Trouble;
-import wrenreach.state.Connect;
+import wrenreach.relay.Impairment;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
 /**
@@ -54,7 +54,7 @@
 
     /** Discovery as one node sees it. */
     private static final class Agent implements Network.Listener {
-        private static final Trouble CUT = new Trouble(Trouble.Kind.CUT, 0, 0);
+        private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
         private final World world;
         private final Network.Party party;
         private final InetSocketAddress address;
@@ -151,35 +151,35 @@
 
     /** The module, and when it was first told that the endpoint drains. */
     private static final class Heeding implements Dispatcher {
-        private final Choice sound;
+        private final DeliveryDispatcher sound;
         private final Runnable heeded;
 
         Heeding(Settings settings, Runnable heeded) {
-            sound = new Choice(settings);
+            sound = new DeliveryDispatcher(settings);
             this.heeded = heeded;
         }
 
-        @Override public List<Answer> admit(Mail mail, long now) {
+        @Override public List<Action> admit(Mail mail, long now) {
             return sound.admit(mail, now);
         }
 
-        @Override public List<Answer> ended(Connect connect, Outcome outcome, double[] report, boolean done, long now) {
-            return sound.ended(connect, outcome, report, done, now);
+        @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
+            return sound.attemptEnded(connect, outcome, report, done, now);
         }
 
-        @Override public List<Answer> withdrawn(Mail mail, long now) {
+        @Override public List<Action> withdrawn(Mail mail, long now) {
             return sound.withdrawn(mail, now);
         }
 
-        @Override public List<Answer> listed(Listing listing, long now) {
-            if (listing.entries().stream().anyMatch(entry -> entry.state() == Listing.State.DRAINING)) {
+        @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
+            if (listing.entries().stream().anyMatch(entry -> entry.state() == EndpointUpdate.State.DRAINING)) {
                 heeded.run();
             }
-            return sound.listed(listing, now);
+            return sound.endpointsUpdated(listing, now);
         }
 
-        @Override public List<Answer> next(long now) {
-            return sound.next(now);
+        @Override public List<Action> nextActions(long now) {
+            return sound.nextActions(now);
         }
     }
 
--- a/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
@@ -110,7 +110,7 @@
     }
 
     private static int look(String what, Path folder, PrintStream out) throws IOException {
-        try (Store store = Store.look(new FolderDisk(folder))) {
+        try (Store store = Store.openReadOnly(new FolderDisk(folder))) {
             Store.Stats stats = store.stats();
             if (what.equals("dump")) {
                 store.forEach((key, value) -> out.println(printable(key) + " " + HexFormat.of().formatHex(value)));
@@ -122,17 +122,17 @@
                 // Each value is read, not only the batches.
                 store.forEach((key, value) -> { });
             }
-            if (store.recovered().torn() > 0) {
-                out.println("a last write of " + store.recovered().torn() + " bytes was never finished; the next start cuts it off");
+            if (store.recovered().truncatedBytes() > 0) {
+                out.println("a last write of " + store.recovered().truncatedBytes() + " bytes was never finished; the next start cuts it off");
             }
-            store.recovered().holes().forEach(hole -> out.println("damaged: " + hole.text()));
-            return store.recovered().holes().isEmpty() ? SOUND : DAMAGED;
+            store.recovered().damagedRanges().forEach(hole -> out.println("damaged: " + hole.describe()));
+            return store.recovered().damagedRanges().isEmpty() ? SOUND : DAMAGED;
         }
     }
 
     private static int held(Path folder, PrintStream out) throws IOException {
         List<HeldMail> owed = StoreLedger.read(folder);
-        owed.forEach(mail -> out.println(mail.line()));
+        owed.forEach(mail -> out.println(mail.describe()));
         out.println(owed.size() + " mails owed");
         return SOUND;
     }
@@ -165,7 +165,7 @@
             Files.createDirectories(fresh);
             int kept = 0;
             int holes;
-            try (Store from = Store.look(new FolderDisk(folder));
+            try (Store from = Store.openReadOnly(new FolderDisk(folder));
                     Store to = Store.open(new FolderDisk(fresh), ROOM, true, new java.security.SecureRandom().nextInt())) {
                 int[] count = {0};
                 from.forEach((key, value) -> {
@@ -178,7 +178,7 @@
                 });
                 to.sync().force();
                 kept = count[0];
-                holes = from.recovered().holes().size();
+                holes = from.recovered().damagedRanges().size();
             }
             Files.move(folder, old);
             Files.move(fresh, folder);
--- a/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import wrenreach.endpoints.ListLog;
-import wrenreach.held.Ballast;
+import wrenreach.held.ReservedSpace;
 import wrenreach.held.Ending;
 import wrenreach.held.Entry;
 import wrenreach.held.HeldMail;
 import wrenreach.held.Journal;
 import wrenreach.held.Ledger;
-import wrenreach.held.PastConnect;
+import wrenreach.held.RecordedAttempt;
 import wrenreach.held.TimeBase;
 import wrenreach.log.LogEvent;
 import wrenreach.store.Batch;
@@ -54,7 +54,7 @@
     private static final int FORGOTTEN_A_TURN = 64, FORCED_FOR_ROOM = 64;
 
     private final Store store;
-    private final Ballast ballast;
+    private final ReservedSpace ballast;
     private final boolean sync;
     private final long remember;
     private final long rememberBytes;
@@ -75,7 +75,7 @@
     private boolean closed;
     private ListLog lists;
 
-    private StoreLedger(Store store, Ballast ballast, boolean sync, long remember, long rememberBytes, LongSupplier micros) throws IOException {
+    private StoreLedger(Store store, ReservedSpace ballast, boolean sync, long remember, long rememberBytes, LongSupplier micros) throws IOException {
         this.store = store;
         this.ballast = ballast;
         this.sync = sync;
@@ -106,9 +106,9 @@
         Files.deleteIfExists(state.resolve(JOURNAL + ".next"));
         Files.createDirectories(folder);
         long kept = (long) (limit * BALLAST_PART);
-        Store store = Store.open(new FolderDisk(folder), limit - kept - ListLog.room(limit), sync, salt);
+        Store store = Store.open(new FolderDisk(folder), limit - kept - ListLog.sizeLimit(limit), sync, salt);
         try {
-            StoreLedger ledger = new StoreLedger(store, new Ballast(folder.resolve("ballast"), kept), sync, remember, rememberBytes,
+            StoreLedger ledger = new StoreLedger(store, new ReservedSpace(folder.resolve("ballast"), kept), sync, remember, rememberBytes,
                     micros);
             ledger.lists = new ListLog(state, limit);
             return ledger;
@@ -120,9 +120,9 @@
 
     /** What a state folder's store owes, in the order taken on; nothing is changed. */
     static List<HeldMail> read(Path folder) throws IOException {
-        try (StoreLedger ledger = new StoreLedger(Store.look(new FolderDisk(folder)), new Ballast(folder, 0), false, 0, 0,
+        try (StoreLedger ledger = new StoreLedger(Store.openReadOnly(new FolderDisk(folder)), new ReservedSpace(folder, 0), false, 0, 0,
                 () -> System.nanoTime() / 1000)) {
-            return ledger.owed();
+            return ledger.outstanding();
         }
     }
 
@@ -137,12 +137,12 @@
         }
         Files.createDirectories(made);
         List<HeldMail> owed = Journal.read(state);
-        try (StoreLedger ledger = new StoreLedger(Store.open(new FolderDisk(made), limit, true, salt), new Ballast(made.resolve("ballast"), 0), true, 0, 0,
+        try (StoreLedger ledger = new StoreLedger(Store.open(new FolderDisk(made), limit, true, salt), new ReservedSpace(made.resolve("ballast"), 0), true, 0, 0,
                 () -> System.nanoTime() / 1000)) {
             for (HeldMail mail : owed) {
-                HeldMail copy = new HeldMail(mail.submission, mail.endsBy);
-                ledger.taken(copy);
-                mail.connects.forEach(connect -> ledger.connecting(copy, connect));
+                HeldMail copy = new HeldMail(mail.submission, mail.deadline);
+                ledger.accepted(copy);
+                mail.attempts.forEach(connect -> ledger.attemptStarted(copy, connect));
                 if (mail.ending != null) {
                     ledger.ended(copy, mail.ending);
                 }
@@ -154,14 +154,14 @@
             }
         }
         if (!owed.isEmpty()) {
-            LogEvent.tell(LOG, Level.INFO, "store.carried", "{mails} mails carried over from the journal", "mails", owed.size());
+            LogEvent.log(LOG, Level.INFO, "store.carried", "{mails} mails carried over from the journal", "mails", owed.size());
         }
     }
 
     // ---- Recovery ----
 
     private void load() throws IOException {
-        Store.Recovered found = store.recovered();
+        Store.RecoveryReport found = store.recovered();
         Map<Long, HeldMail> byOrder = new TreeMap<>();
         Map<String, HeldMail> byId = new LinkedHashMap<>();
         List<String> others = new ArrayList<>();
@@ -170,9 +170,9 @@
         store.forEach((key, value) -> {
             try {
                 if (key.charAt(0) == TAKEN) {
-                    Entry.Taken taken = (Entry.Taken) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
-                    HeldMail held = new HeldMail(taken.submission(), taken.endsBy());
-                    held.owed = true;
+                    Entry.Accepted taken = (Entry.Accepted) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
+                    HeldMail held = new HeldMail(taken.submission(), taken.deadline());
+                    held.accepted = true;
                     byOrder.put(ByteBuffer.wrap(value).getLong(), held);
                     byId.put(taken.id(), held);
                 } else if (key.charAt(0) == REMEMBERED) {
@@ -198,37 +198,37 @@
         }
         // Each hole once: it says nothing of mails taken on after it was found.
         Set<String> holes = new TreeSet<>();
-        found.holes().stream().filter(hole -> hole.lost() > 0).forEach(hole -> holes.add(HOLE + hole.file() + "@" + hole.at()));
+        found.damagedRanges().stream().filter(hole -> hole.lost() > 0).forEach(hole -> holes.add(HOLE + hole.file() + "@" + hole.at()));
         boolean damaged = !dealtWith.containsAll(holes);
         holes.stream().filter(hole -> !dealtWith.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
         dealtWith.stream().filter(hole -> !holes.contains(hole)).forEach(pending::delete);
         byOrder.forEach((at, held) -> {
             order = at;
-            held.connects.sort((a, b) -> Integer.compare(a.number(), b.number()));
+            held.attempts.sort((a, b) -> Integer.compare(a.number(), b.number()));
             if (damaged && held.ending == null) {
                 // Guards against a second effect: what is missing may have said that it went out, or that it was over.
-                connecting(held, new PastConnect(held.connects.size(), "", 0, 0, false));
+                attemptStarted(held, new RecordedAttempt(held.attempts.size(), "", 0, 0, false));
             }
             owed.put(held.submission.id(), held);
         });
         ended.forEach((at, id) -> remembered(id, at));
         // Records whose mail is gone are of no use: only damage leaves them.
         left.forEach(pending::delete);
-        if (found.torn() > 0) {
-            LogEvent.tell(LOG, Level.WARNING, "store.torn", "store: cut off a torn tail of {bytes} bytes", "bytes", found.torn());
+        if (found.truncatedBytes() > 0) {
+            LogEvent.log(LOG, Level.WARNING, "store.torn", "store: cut off a torn tail of {bytes} bytes", "bytes", found.truncatedBytes());
         }
-        found.holes().forEach(hole -> LogEvent.tell(LOG, Level.ERROR, "store.damaged",
-                "store: {hole}; owed mails are taken to have gone out", "hole", hole.text()));
+        found.damagedRanges().forEach(hole -> LogEvent.log(LOG, Level.ERROR, "store.damaged",
+                "store: {hole}; owed mails are taken to have gone out", "hole", hole.describe()));
     }
 
     private static void apply(Entry entry, Map<String, HeldMail> byId, String key, List<String> left) {
         HeldMail held = byId.get(entry.id());
         if (held == null) {
             left.add(key);
-        } else if (entry instanceof Entry.Connecting connecting) {
-            held.connects.add(connecting.connect());
+        } else if (entry instanceof Entry.AttemptStarted connecting) {
+            held.attempts.add(connecting.attempt());
         } else if (entry instanceof Entry.NeverRan neverRan) {
-            held.neverRan(neverRan.number());
+            held.markNeverRan(neverRan.number());
         } else if (entry instanceof Entry.Ended ended) {
             held.ending = ended.ending();
         }
@@ -257,7 +257,7 @@
         return resumed;
     }
 
-    @Override public List<HeldMail> owed() {
+    @Override public List<HeldMail> outstanding() {
         return new ArrayList<>(owed.values());
     }
 
@@ -265,17 +265,17 @@
         long each = (2L + 2 * tries) * RECORD;
         // Looked at here too: a node that refuses everything writes nothing.
         restore();
-        return ballast.held() && store.fits(owed.size() * each + Math.max(0, rememberBytes - rememberedBytes), (1L + before) * (bodyBytes + RECORD + each));
+        return ballast.reserved() && store.fits(owed.size() * each + Math.max(0, rememberBytes - rememberedBytes), (1L + before) * (bodyBytes + RECORD + each));
     }
 
-    @Override public boolean remembers(String id) {
+    @Override public boolean hasEnded(String id) {
         return remembered.containsKey(id);
     }
 
-    @Override public void taken(HeldMail held) {
-        held.owed = true;
+    @Override public void accepted(HeldMail held) {
+        held.accepted = true;
         owed.put(held.submission.id(), held);
-        byte[] entry = new Entry.Taken(held.submission, held.endsBy).encode();
+        byte[] entry = new Entry.Accepted(held.submission, held.deadline).encode();
         pending.put(TAKEN + held.submission.id(), ByteBuffer.allocate(8 + entry.length).putLong(++order).put(entry).array());
     }
 
@@ -283,17 +283,17 @@
         return kind + id + '\0' + number;
     }
 
-    @Override public void connecting(HeldMail held, PastConnect connect) {
-        held.connects.add(connect);
+    @Override public void attemptStarted(HeldMail held, RecordedAttempt connect) {
+        held.attempts.add(connect);
         String id = held.submission.id();
-        pending.put(of(CONNECT, id, connect.number()), new Entry.Connecting(id, connect).encode());
+        pending.put(of(CONNECT, id, connect.number()), new Entry.AttemptStarted(id, connect).encode());
         if (connect.neverRan()) {
             pending.put(of(NEVER_RAN, id, connect.number()), new Entry.NeverRan(id, connect.number()).encode());
         }
     }
 
     @Override public void neverRan(HeldMail held, int number) {
-        if (held.neverRan(number)) {
+        if (held.markNeverRan(number)) {
             String id = held.submission.id();
             pending.put(of(NEVER_RAN, id, number), new Entry.NeverRan(id, number).encode());
         }
@@ -304,14 +304,14 @@
         pending.put(ENDING + held.submission.id(), new Entry.Ended(held.submission.id(), ending).encode());
     }
 
-    @Override public void over(HeldMail held) {
+    @Override public void completed(HeldMail held) {
         String id = held.submission.id();
-        if (!held.owed || !owed.remove(id, held)) {
+        if (!held.accepted || !owed.remove(id, held)) {
             return;
         }
-        held.owed = false;
+        held.accepted = false;
         pending.delete(TAKEN + id);
-        for (PastConnect connect : held.connects) {
+        for (RecordedAttempt connect : held.attempts) {
             pending.delete(of(CONNECT, id, connect.number()));
             if (connect.neverRan()) {
                 pending.delete(of(NEVER_RAN, id, connect.number()));
@@ -366,7 +366,7 @@
             if (!ballast.release()) {
                 throw e;
             }
-            LogEvent.tell(LOG, Level.ERROR, "store.short", "the disk takes no more: new mails are refused, what is owed goes on: {why}",
+            LogEvent.log(LOG, Level.ERROR, "store.short", "the disk takes no more: new mails are refused, what is owed goes on: {why}",
                     "why", e.getMessage());
             append(batch);
         }
@@ -388,7 +388,7 @@
 
     private void restore() {
         if (ballast.restore(micros.getAsLong())) {
-            LogEvent.tell(LOG, Level.WARNING, "store.room", "the disk has room again: mails are taken on");
+            LogEvent.log(LOG, Level.WARNING, "store.room", "the disk has room again: mails are taken on");
         }
     }
 
@@ -421,7 +421,7 @@
             };
         } catch (IOException e) {
             // What a failed sync leaves is unknown: nothing can be promised on it any more.
-            LogEvent.tell(LOG, Level.ERROR, "store.sync", "the store can't be forced to the disk, the node stops: {why}", "why",
+            LogEvent.log(LOG, Level.ERROR, "store.sync", "the store can't be forced to the disk, the node stops: {why}", "why",
                     e.getMessage());
             next = failed;
         }
@@ -433,7 +433,7 @@
         }
     }
 
-    @Override public ListLog lists() {
+    @Override public ListLog listLog() {
         return lists;
     }
 
--- a/ledger/src/main/java/wrenreach/ledger/StoreSubsystem.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreSubsystem.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import wrenreach.frame.Command;
-import wrenreach.frame.Host;
-import wrenreach.frame.Running;
+import wrenreach.frame.NodeContext;
+import wrenreach.frame.RunningSubsystem;
 import wrenreach.frame.Subsystem;
 import wrenreach.held.Ledger;
 import wrenreach.operator.Section;
@@ -17,17 +17,17 @@
         return StoreSection.SECTION;
     }
 
-    @Override public Optional<Ledger> ledger(StoreSection section, Path state, long limit) throws CantStart {
+    @Override public Optional<Ledger> ledger(StoreSection section, Path state, long limit) throws StartException {
         try {
             return Optional.of(StoreLedger.open(state, limit, section.durability().equals("sync"), section.remembered(),
                     (long) (section.rememberedPart() * limit)));
         } catch (IOException e) {
-            throw new CantStart("the store in " + state + " can't be used: " + e.getMessage());
+            throw new StartException("the store in " + state + " can't be used: " + e.getMessage());
         }
     }
 
-    @Override public Running<StoreSection> start(StoreSection section, Host host) {
-        return new Running<>() { };
+    @Override public RunningSubsystem<StoreSection> start(StoreSection section, NodeContext host) {
+        return new RunningSubsystem<>() { };
     }
 
     @Override public List<Command> commands() {
--- a/ledger/src/test/java/wrenreach/ledger/StoreLedgerTest.java
+++ b/ledger/src/test/java/wrenreach/ledger/StoreLedgerTest.java
@@ -19,7 +19,7 @@
 import wrenreach.held.HeldMail;
 import wrenreach.held.Journal;
 import wrenreach.held.Ledger;
-import wrenreach.held.PastConnect;
+import wrenreach.held.RecordedAttempt;
 import wrenreach.held.Submission;
 
 class StoreLedgerTest {
@@ -36,12 +36,12 @@
         return new HeldMail(new Submission(id, "key", "order", "shop", "tag " + id, 3, new byte[bytes]), 99);
     }
 
-    private static PastConnect connect(int number) {
-        return new PastConnect(number, "e" + number, 1, 1000 + number, false);
+    private static RecordedAttempt connect(int number) {
+        return new RecordedAttempt(number, "e" + number, 1, 1000 + number, false);
     }
 
     private static List<String> ids(Ledger ledger) {
-        return ledger.owed().stream().map(held -> held.submission.id()).toList();
+        return ledger.outstanding().stream().map(held -> held.submission.id()).toList();
     }
 
     private static void write(Ledger ledger) throws IOException {
@@ -54,27 +54,27 @@
         HeldMail ended = mail("b", 20);
         HeldMail over = mail("y", 30);
         for (HeldMail mail : List.of(out, over, ended)) {
-            ledger.taken(mail);
+            ledger.accepted(mail);
         }
         write(ledger);
-        ledger.connecting(out, connect(0));
+        ledger.attemptStarted(out, connect(0));
         ledger.neverRan(out, 0);
-        ledger.connecting(out, connect(1));
-        ledger.connecting(over, connect(0));
+        ledger.attemptStarted(out, connect(1));
+        ledger.attemptStarted(over, connect(0));
         write(ledger);
-        ledger.over(over);
+        ledger.completed(over);
         ledger.ended(ended, new Ending(true, 70));
         write(ledger);
     }
 
     private static void holdsWhatWasFilled(Ledger ledger) {
         assertThat(ids(ledger)).containsExactly("z", "b");
-        HeldMail out = ledger.owed().get(0);
-        assertThat(out.endsBy).isEqualTo(99);
+        HeldMail out = ledger.outstanding().get(0);
+        assertThat(out.deadline).isEqualTo(99);
         assertThat(out.submission.tag()).isEqualTo("tag z");
         assertThat(out.submission.body()).hasSize(10);
-        assertThat(out.connects).containsExactly(new PastConnect(0, "e0", 1, 1000, true), connect(1));
-        assertThat(ledger.owed().get(1).ending).isEqualTo(new Ending(true, 70));
+        assertThat(out.attempts).containsExactly(new RecordedAttempt(0, "e0", 1, 1000, true), connect(1));
+        assertThat(ledger.outstanding().get(1).ending).isEqualTo(new Ending(true, 70));
         assertThat(ledger.resumed()).isTrue();
     }
 
@@ -85,15 +85,15 @@
         }
         try (Ledger ledger = open(false, 10_000)) {
             holdsWhatWasFilled(ledger);
-            assertThat(ledger.remembers("y")).isTrue();
-            assertThat(ledger.remembers("z")).isFalse();
+            assertThat(ledger.hasEnded("y")).isTrue();
+            assertThat(ledger.hasEnded("z")).isFalse();
             wallMillis += 60_001;
-            ledger.taken(mail("later", 1));
+            ledger.accepted(mail("later", 1));
             write(ledger);
-            assertThat(ledger.remembers("y")).as("after its time").isFalse();
+            assertThat(ledger.hasEnded("y")).as("after its time").isFalse();
         }
         try (Ledger ledger = open(false, 10_000)) {
-            assertThat(ledger.remembers("y")).isFalse();
+            assertThat(ledger.hasEnded("y")).isFalse();
             assertThat(ids(ledger)).containsExactly("z", "b", "later");
         }
     }
@@ -102,15 +102,15 @@
         try (Ledger ledger = open(false, 1000)) {
             for (int i = 0; i < 100; i++) {
                 HeldMail mail = mail("m" + i, 10);
-                ledger.taken(mail);
+                ledger.accepted(mail);
                 write(ledger);
-                ledger.over(mail);
+                ledger.completed(mail);
                 write(ledger);
             }
-            long known = Stream.iterate(0, i -> i + 1).limit(100).filter(i -> ledger.remembers("m" + i)).count();
+            long known = Stream.iterate(0, i -> i + 1).limit(100).filter(i -> ledger.hasEnded("m" + i)).count();
             assertThat(known).isBetween(10L, 16L);
-            assertThat(ledger.remembers("m99")).isTrue();
-            assertThat(ledger.remembers("m0")).isFalse();
+            assertThat(ledger.hasEnded("m99")).isTrue();
+            assertThat(ledger.hasEnded("m0")).isFalse();
         }
     }
 
@@ -141,7 +141,7 @@
         java.util.concurrent.BlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
         try (Ledger ledger = open(true, 0)) {
             ledger.attach(loop::add, () -> { });
-            ledger.taken(mail("a", 10));
+            ledger.accepted(mail("a", 10));
             int[] lasts = {0};
             assertThat(ledger.write(() -> lasts[0]++)).isFalse();
             assertThat(lasts[0]).isZero();
@@ -156,11 +156,11 @@
     @ValueSource(ints = {0, 1})
     void afterDamageOwedMailsAreTakenToHaveGoneOut(int batch) throws Exception {
         try (Ledger ledger = open(false, 0)) {
-            ledger.taken(mail("a", 500));
+            ledger.accepted(mail("a", 500));
             write(ledger);
-            ledger.taken(mail("b", 500));
+            ledger.accepted(mail("b", 500));
             write(ledger);
-            ledger.taken(mail("c", 500));
+            ledger.accepted(mail("c", 500));
             write(ledger);
         }
         Path segment = folder.resolve("store/segment-0000000000000001.log");
@@ -169,15 +169,15 @@
         Files.write(segment, bytes);
         try (Ledger ledger = open(false, 0)) {
             assertThat(ids(ledger)).containsExactly(batch == 0 ? "b" : "a", "c");
-            assertThat(ledger.owed()).allSatisfy(held -> assertThat(held.connects).hasSize(1)
+            assertThat(ledger.outstanding()).allSatisfy(held -> assertThat(held.attempts).hasSize(1)
                     .allSatisfy(connect -> assertThat(connect.neverRan()).isFalse()));
-            ledger.taken(mail("later", 5));
+            ledger.accepted(mail("later", 5));
             write(ledger);
         }
         // The hole is still there; it says nothing of what came after it was found.
         try (Ledger ledger = open(false, 0)) {
             assertThat(ids(ledger)).hasSize(3).endsWith("later");
-            assertThat(ledger.owed()).extracting(held -> held.connects.size()).containsExactly(1, 1, 0);
+            assertThat(ledger.outstanding()).extracting(held -> held.attempts.size()).containsExactly(1, 1, 0);
         }
     }
 
@@ -185,20 +185,20 @@
         try (StoreLedger ledger = open(false, 10_000)) {
             int taken = 0;
             while (ledger.fits(1000, 0, 4)) {
-                ledger.taken(mail("m" + taken++, 1000));
+                ledger.accepted(mail("m" + taken++, 1000));
                 write(ledger);
             }
             assertThat(taken).isBetween(200, 900);
-            for (HeldMail held : ledger.owed()) {
+            for (HeldMail held : ledger.outstanding()) {
                 for (int i = 0; i < 4; i++) {
-                    ledger.connecting(held, connect(i));
+                    ledger.attemptStarted(held, connect(i));
                     write(ledger);
                 }
             }
             try (Stream<Path> files = Files.list(folder.resolve("store"))) {
                 assertThat(files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512).sum()).isLessThanOrEqualTo(LIMIT);
             }
-            ledger.owed().forEach(ledger::over);
+            ledger.outstanding().forEach(ledger::completed);
             write(ledger);
             assertThat(ledger.fits(1000, 0, 4)).isTrue();
         }
--- a/lists/src/main/java/wrenreach/lists/Generation.java
+++ b/lists/src/main/java/wrenreach/lists/Generation.java
@@ -4,19 +4,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /**
  * One list as it was written whole. print: twelve letters that stand for its content; label: its writer's own name for
  * it; endpoints: by the id that the node knows them under, in the order of the files; serving: how many endpoints serve
  * each destination that the list names.
  */
-record Generation(String print, String label, Map<String, ListLine.Entry> endpoints, Map<Integer, Integer> serving) {
+record Generation(String print, String label, Map<String, ListUpdate.Entry> endpoints, Map<Integer, Integer> serving) {
     static final String SERVING = "SERVING", DRAINING = "DRAINING", DELETED = "DELETED";
     private static final String PREFIX = "file:";
 
     /** The same, with what serves each destination counted. */
-    Generation(String print, String label, Map<String, ListLine.Entry> endpoints) {
+    Generation(String print, String label, Map<String, ListUpdate.Entry> endpoints) {
         this(print, label, endpoints, new HashMap<>());
         endpoints.values().forEach(e -> serving.merge(e.group(), serves(e) ? 1 : 0, Integer::sum));
     }
@@ -31,13 +31,13 @@
         return id.substring(id.indexOf('/') + 1);
     }
 
-    static boolean serves(ListLine.Entry entry) {
+    static boolean serves(ListUpdate.Entry entry) {
         return entry != null && entry.status().equals(SERVING);
     }
 
     /** The ids of endpoints that the two lists know differently; earlier may be null. */
     static List<String> differing(Generation earlier, Generation next) {
-        Map<String, ListLine.Entry> before = earlier == null ? Map.of() : earlier.endpoints;
+        Map<String, ListUpdate.Entry> before = earlier == null ? Map.of() : earlier.endpoints;
         List<String> ids = new ArrayList<>();
         next.endpoints.forEach((id, entry) -> {
             if (!entry.equals(before.get(id))) {
--- a/lists/src/main/java/wrenreach/lists/ListFault.java
+++ b/lists/src/main/java/wrenreach/lists/InvalidListException.java
@@ -1,10 +1,10 @@
 package wrenreach.lists;
 
 /** Files that can't be taken as a list; the message is FILE:LINE: what is wrong. */
-final class ListFault extends Exception {
+final class InvalidListException extends Exception {
     private static final long serialVersionUID = 1;
 
-    ListFault(Object file, int line, String what) {
+    InvalidListException(Object file, int line, String what) {
         super(file + (line > 0 ? ":" + line : "") + ": " + what);
     }
 }
--- a/lists/src/main/java/wrenreach/lists/ListFiles.java
+++ b/lists/src/main/java/wrenreach/lists/ListFiles.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import java.util.Map;
 import wrenreach.net.Addresses;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /**
  * Reads and writes lists. A list is one manifest and the parts it names, each with its SHA-256: what is read is one
@@ -71,7 +71,7 @@
     /** The manifest's bytes and where it lies once all links are followed: its parts lie beside it there. */
     record Found(Path real, byte[] bytes) { }
 
-    static Found find(Path manifest) throws ListFault {
+    static Found find(Path manifest) throws InvalidListException {
         try {
             Path real = manifest.toRealPath();
             return new Found(real, bytes(real, MANIFEST_BYTES));
@@ -80,8 +80,8 @@
         }
     }
 
-    private static ListFault unreadable(Path file, IOException e) {
-        return new ListFault(file, 0, e instanceof NoSuchFileException ? "no such file"
+    private static InvalidListException unreadable(Path file, IOException e) {
+        return new InvalidListException(file, 0, e instanceof NoSuchFileException ? "no such file"
                 : "can't be read: " + e.getMessage());
     }
 
@@ -137,22 +137,22 @@
     }
 
     /** The list that a manifest names, in all of its parts; earlier: what it shares with is kept once, or null. */
-    static Generation read(Found found, Manifest manifest, Bounds bounds, Generation earlier) throws ListFault {
+    static Generation read(Found found, Manifest manifest, Bounds bounds, Generation earlier) throws InvalidListException {
         Reading reading = new Reading(bounds, earlier);
         long left = bounds.bytes();
         for (Part part : manifest.parts) {
             Path file = found.real.resolveSibling(part.file);
             try (Summed in = new Summed(Files.newInputStream(file), left)) {
-                ListFault spoilt = null;
+                InvalidListException spoilt = null;
                 try {
                     reading.part(file, in);
-                } catch (ListFault e) {
+                } catch (InvalidListException e) {
                     spoilt = e;
                 }
                 // Before all that reads wrong in it: one that is being written reads wrong, and is no fault of its writer's.
                 String sum = in.sum();
                 if (!sum.equals(part.sha256)) {
-                    throw new ListFault(file, 0, "its SHA-256 is " + sum + ", the manifest says " + part.sha256
+                    throw new InvalidListException(file, 0, "its SHA-256 is " + sum + ", the manifest says " + part.sha256
                             + ": not written whole, or not of this manifest");
                 }
                 if (spoilt != null) {
@@ -167,7 +167,7 @@
     }
 
     /** What the bytes of a manifest say; file only names it in faults. */
-    static Manifest manifest(Path file, byte[] bytes) throws ListFault {
+    static Manifest manifest(Path file, byte[] bytes) throws InvalidListException {
         try (JsonParser in = JSON.createParser(bytes)) {
             Fields fields = new Fields(file, in);
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -203,13 +203,13 @@
         }
     }
 
-    private static ListFault malformed(Path file, JsonProcessingException e) {
+    private static InvalidListException malformed(Path file, JsonProcessingException e) {
         int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-        return new ListFault(file, line, "can't be read as JSON: "
+        return new InvalidListException(file, line, "can't be read as JSON: "
                 + e.getOriginalMessage().lines().findFirst().orElse("").replaceAll(" \\(start marker at.*", ""));
     }
 
-    private static void parts(Fields fields, List<Part> parts) throws IOException, ListFault {
+    private static void parts(Fields fields, List<Part> parts) throws IOException, InvalidListException {
         JsonParser in = fields.in;
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw fields.fault("\"parts\" is a list");
@@ -246,11 +246,11 @@
 
     /** Reads fields of one file and says where one is wrong. */
     private record Fields(Path file, JsonParser in) {
-        ListFault fault(String what) {
-            return new ListFault(file, in.currentLocation().getLineNr(), what);
+        InvalidListException fault(String what) {
+            return new InvalidListException(file, in.currentLocation().getLineNr(), what);
         }
 
-        String text(String name) throws IOException, ListFault {
+        String text(String name) throws IOException, InvalidListException {
             if (in.currentToken() != JsonToken.VALUE_STRING || in.getTextLength() > TEXT) {
                 throw fault("\"" + name + "\" is a text of at most " + TEXT + " letters");
             }
@@ -261,7 +261,7 @@
             return text;
         }
 
-        long whole(String name) throws IOException, ListFault {
+        long whole(String name) throws IOException, InvalidListException {
             if (in.currentToken() != JsonToken.VALUE_NUMBER_INT || in.getNumberType() != JsonParser.NumberType.INT
                     || in.getIntValue() < 0) {
                 throw fault("\"" + name + "\" is a whole number, not " + in.getText());
@@ -269,14 +269,14 @@
             return in.getIntValue();
         }
 
-        double number(String name) throws IOException, ListFault {
+        double number(String name) throws IOException, InvalidListException {
             if (!in.currentToken().isNumeric()) {
                 throw fault("\"" + name + "\" is a number, not " + in.getText());
             }
             return in.getDoubleValue();
         }
 
-        void head(String format, String wanted, long version) throws ListFault {
+        void head(String format, String wanted, long version) throws InvalidListException {
             if (!format.equals(wanted) || version != VERSION) {
                 throw fault("is not of the format " + wanted + ", version " + VERSION + ", but "
                         + (format.isEmpty() ? "says none" : format + ", version " + version));
@@ -286,12 +286,12 @@
 
     /** The endpoints of parts, one after the other. */
     static final class Reading {
-        final Map<String, ListLine.Entry> endpoints = new LinkedHashMap<>();
+        final Map<String, ListUpdate.Entry> endpoints = new LinkedHashMap<>();
         /** Zones and kinds are few: each text is kept once. */
         private final Map<String, String> texts = new HashMap<>();
         private final Map<Integer, Integer> ofDestination = new HashMap<>();
         private final Bounds bounds;
-        private final Map<String, ListLine.Entry> earlier;
+        private final Map<String, ListUpdate.Entry> earlier;
         private Map<String, String> head = Map.of();
 
         /** earlier: entries that are the same in it are kept once; null: none. */
@@ -301,7 +301,7 @@
         }
 
         /** One part: its head, an endpoint a line, and how many they were. */
-        void part(Path file, InputStream bytes) throws ListFault {
+        void part(Path file, InputStream bytes) throws InvalidListException {
             try (JsonParser in = JSON.createParser(bytes)) {
                 Fields fields = new Fields(file, in);
                 head(fields);
@@ -325,7 +325,7 @@
             }
         }
 
-        private void head(Fields fields) throws IOException, ListFault {
+        private void head(Fields fields) throws IOException, InvalidListException {
             JsonParser in = fields.in;
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw fields.fault("it does not begin with the object that names its format");
@@ -348,7 +348,7 @@
         }
 
         /** Reads one object; false: it was the end. */
-        private boolean endpoint(Fields fields, int count) throws IOException, ListFault {
+        private boolean endpoint(Fields fields, int count) throws IOException, InvalidListException {
             JsonParser in = fields.in;
             String name = "", address = "", zone = "", kind = "", status = "serving";
             long destination = -1;
@@ -388,9 +388,9 @@
                 throw fields.fault("\"address\": " + e.getMessage());
             }
             String id = Generation.id((int) destination, name);
-            ListLine.Entry entry = new ListLine.Entry(id, address, once(zone), once(kind), (int) destination,
+            ListUpdate.Entry entry = new ListUpdate.Entry(id, address, once(zone), once(kind), (int) destination,
                     status.equals("serving") ? Generation.SERVING : Generation.DRAINING, weight);
-            ListLine.Entry same = earlier.get(id);
+            ListUpdate.Entry same = earlier.get(id);
             if (!entry.equals(same)) {
                 same = entry;
             }
@@ -424,7 +424,7 @@
             json.writeStringField("label", list.label());
             json.writeEndObject();
             json.writeRaw('\n');
-            for (ListLine.Entry entry : list.endpoints().values()) {
+            for (ListUpdate.Entry entry : list.endpoints().values()) {
                 json.writeStartObject();
                 json.writeNumberField("destination", entry.group());
                 json.writeStringField("name", Generation.name(entry.name()));
@@ -444,7 +444,7 @@
     }
 
     /** The list that {@link #write} wrote. */
-    static Generation reread(Path file, Bounds bounds) throws ListFault {
+    static Generation reread(Path file, Bounds bounds) throws InvalidListException {
         try (Summed in = new Summed(Files.newInputStream(file), bounds.bytes())) {
             Reading reading = new Reading(bounds, null);
             reading.part(file, in);
--- a/lists/src/main/java/wrenreach/lists/ListGuard.java
+++ b/lists/src/main/java/wrenreach/lists/ListGuard.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /**
  * Decides whether a list that was read whole is put in force. Free of I/O; the clock is handed in. One that empties a
@@ -101,7 +101,7 @@
             }
         });
         Map<String, Set<String>> had = new TreeMap<>();
-        for (ListLine.Entry entry : inForce.endpoints().values()) {
+        for (ListUpdate.Entry entry : inForce.endpoints().values()) {
             if (Generation.serves(entry)) {
                 had.computeIfAbsent(entry.zone(), zone -> new HashSet<>()).add(entry.name());
             }
--- a/lists/src/main/java/wrenreach/lists/ListsCommand.java
+++ b/lists/src/main/java/wrenreach/lists/ListsCommand.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import wrenreach.frame.Command;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /** wrenreach lists check|make|status. */
 final class ListsCommand implements Command {
@@ -39,7 +39,7 @@
                 return status(Path.of(words.get(1)), out);
             }
             usage().forEach(line -> err.println("usage: wrenreach " + line));
-        } catch (ListFault e) {
+        } catch (InvalidListException e) {
             err.println(e.getMessage());
         } catch (IOException e) {
             err.println("wrenreach: " + e);
@@ -47,13 +47,13 @@
         return 2;
     }
 
-    private static void check(Path file, PrintStream out) throws ListFault {
+    private static void check(Path file, PrintStream out) throws InvalidListException {
         ListFiles.Found found = ListFiles.find(file);
         ListFiles.Manifest manifest = ListFiles.manifest(found.real(), found.bytes());
         Generation list = ListFiles.read(found, manifest, BOUNDS, null);
         Map<String, Integer> zones = new TreeMap<>();
         Map<String, Integer> serving = new TreeMap<>();
-        for (ListLine.Entry entry : list.endpoints().values()) {
+        for (ListUpdate.Entry entry : list.endpoints().values()) {
             zones.merge(entry.zone(), 1, Integer::sum);
             serving.merge(entry.zone(), Generation.serves(entry) ? 1 : 0, Integer::sum);
         }
@@ -65,7 +65,7 @@
                 zone.isEmpty() ? "\"\"" : zone, count, serving.get(zone)));
     }
 
-    private static void make(Path file, List<String> words, PrintStream out) throws IOException, ListFault {
+    private static void make(Path file, List<String> words, PrintStream out) throws IOException, InvalidListException {
         String label = Instant.now().toString();
         boolean confirm = false;
         List<ListFiles.Part> parts = new ArrayList<>();
--- a/lists/src/main/java/wrenreach/lists/ListsSubsystem.java
+++ b/lists/src/main/java/wrenreach/lists/ListsSubsystem.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import wrenreach.frame.Command;
-import wrenreach.frame.Host;
-import wrenreach.frame.Running;
+import wrenreach.frame.NodeContext;
+import wrenreach.frame.RunningSubsystem;
 import wrenreach.frame.Subsystem;
 import wrenreach.operator.Section;
 
@@ -13,7 +13,7 @@
         return ListsSection.SECTION;
     }
 
-    @Override public Running<ListsSection> start(ListsSection section, Host host) throws CantStart {
+    @Override public RunningSubsystem<ListsSection> start(ListsSection section, NodeContext host) throws StartException {
         return new WatchedLists(section, host);
     }
 
--- a/lists/src/main/java/wrenreach/lists/Roster.java
+++ b/lists/src/main/java/wrenreach/lists/Roster.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /**
  * Decides which endpoints the module knows of: those of the files in force and those of discovery, never a mixture for
@@ -20,9 +20,9 @@
     private long drain;
     private Generation files;
     private Set<Integer> named = Set.of();
-    private final Map<String, ListLine.Entry> discovery = new LinkedHashMap<>();
+    private final Map<String, ListUpdate.Entry> discovery = new LinkedHashMap<>();
     /** What the module was told last, by id; those that leave included. */
-    private final Map<String, ListLine.Entry> told = new HashMap<>();
+    private final Map<String, ListUpdate.Entry> told = new HashMap<>();
     /** Until when those that files left out are drained, in the order they left. */
     private final Map<String, Long> leaving = new LinkedHashMap<>();
     private boolean begun;
@@ -45,7 +45,7 @@
     }
 
     /** News of discovery's. The first one also brings what the files say. */
-    ListLine discovered(ListLine line, long now) {
+    ListUpdate discovered(ListUpdate line, long now) {
         index = line.index();
         Set<String> touched = new LinkedHashSet<>();
         if (!begun && files != null) {
@@ -56,7 +56,7 @@
             touched.addAll(discovery.keySet());
             discovery.clear();
         }
-        for (ListLine.Entry entry : line.entries()) {
+        for (ListUpdate.Entry entry : line.entries()) {
             touched.add(entry.name());
             if (entry.status().equals(Generation.SERVING) || entry.status().equals(Generation.DRAINING)) {
                 discovery.put(entry.name(), entry);
@@ -71,7 +71,7 @@
      * A list takes the place of the one in force; differing: the ids that both know differently. Guards the loop: a
      * large list costs a turn only what has changed in it.
      */
-    ListLine accepted(Generation next, List<String> differing, long now) {
+    ListUpdate accepted(Generation next, List<String> differing, long now) {
         Set<String> touched = new LinkedHashSet<>(differing);
         if (files == null || !all && !named.equals(next.serving().keySet())) {
             touched.addAll(discovery.keySet());
@@ -81,8 +81,8 @@
     }
 
     /** What has been drained for long enough goes. */
-    ListLine due(long now) {
-        List<ListLine.Entry> changes = new ArrayList<>();
+    ListUpdate due(long now) {
+        List<ListUpdate.Entry> changes = new ArrayList<>();
         leaving.entrySet().removeIf(entry -> {
             boolean over = entry.getValue() <= now;
             if (over) {
@@ -90,7 +90,7 @@
             }
             return over;
         });
-        return new ListLine(index, false, changes);
+        return new ListUpdate(index, false, changes);
     }
 
     /** When {@link #due} next has something to do; Long.MAX_VALUE: never. */
@@ -98,8 +98,8 @@
         return leaving.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
     }
 
-    private ListLine.Entry wanted(String id) {
-        ListLine.Entry entry = files == null ? null : files.endpoints().get(id);
+    private ListUpdate.Entry wanted(String id) {
+        ListUpdate.Entry entry = files == null ? null : files.endpoints().get(id);
         if (entry == null) {
             entry = discovery.get(id);
             boolean ruled = entry != null && files != null && (all || named.contains(entry.group()));
@@ -108,11 +108,11 @@
         return entry;
     }
 
-    private ListLine settle(Set<String> touched, boolean drained, long now) {
-        List<ListLine.Entry> changes = new ArrayList<>();
+    private ListUpdate settle(Set<String> touched, boolean drained, long now) {
+        List<ListUpdate.Entry> changes = new ArrayList<>();
         for (String id : touched) {
-            ListLine.Entry want = wanted(id);
-            ListLine.Entry have = told.get(id);
+            ListUpdate.Entry want = wanted(id);
+            ListUpdate.Entry have = told.get(id);
             if (want != null) {
                 if (leaving.remove(id) != null || !want.equals(have)) {
                     told.put(id, want);
@@ -128,11 +128,11 @@
                 changes.add(with(have, Generation.DELETED));
             }
         }
-        return new ListLine(index, false, changes);
+        return new ListUpdate(index, false, changes);
     }
 
-    private static ListLine.Entry with(ListLine.Entry entry, String status) {
-        return new ListLine.Entry(entry.name(), entry.address(), entry.zone(), entry.type(), entry.group(), status,
+    private static ListUpdate.Entry with(ListUpdate.Entry entry, String status) {
+        return new ListUpdate.Entry(entry.name(), entry.address(), entry.zone(), entry.type(), entry.group(), status,
                 entry.weight());
     }
 }
--- a/lists/src/main/java/wrenreach/lists/WatchedLists.java
+++ b/lists/src/main/java/wrenreach/lists/WatchedLists.java
@@ -16,19 +16,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicReference;
-import wrenreach.frame.Host;
-import wrenreach.frame.ListGate;
-import wrenreach.frame.Running;
+import wrenreach.frame.NodeContext;
+import wrenreach.frame.ListFilter;
+import wrenreach.frame.RunningSubsystem;
 import wrenreach.frame.Subsystem;
 import wrenreach.log.LogEvent;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.watch.FileWatch;
 
 /**
  * Lists of endpoints from watched files, in a node. A thread of its own reads, has the guard judge and keeps what is in
  * force; the loop is only told of whole lists, and the roster there turns each into what the module hears.
  */
-final class WatchedLists implements Running<ListsSection>, FileWatch.Look, ListGate {
+final class WatchedLists implements RunningSubsystem<ListsSection>, FileWatch.ChangeHandler, ListFilter {
     private static final System.Logger LOG = System.getLogger(WatchedLists.class.getName());
     static final String KEPT = "in-force.jsonl";
     /** How long one line on a fault stands for those that follow, in microseconds. */
@@ -36,7 +36,7 @@
     /** Endpoints made ready in one go, and how long to wait for the loop to do it. */
     private static final int PIECE = 500, PIECE_MS = 2000;
 
-    private final Host host;
+    private final NodeContext host;
     private final AtomicReference<ListsSection> section;
     private final Path kept;
     private final FileWatch watch;
@@ -47,21 +47,21 @@
     private final ListGuard guard;
     private Status status = Status.none();
     private byte[] settled = new byte[0];
-    private ListFault fault;
+    private InvalidListException fault;
     private String faultTold = "";
     private long quietUntil = Long.MIN_VALUE;
 
-    WatchedLists(ListsSection section, Host host) throws Subsystem.CantStart {
+    WatchedLists(ListsSection section, NodeContext host) throws Subsystem.StartException {
         this.section = new AtomicReference<>(section);
         this.host = host;
         kept = section.kept();
         try {
             Files.createDirectories(kept);
         } catch (IOException e) {
-            throw new Subsystem.CantStart("the folder kept = " + kept + " can't be used: " + e);
+            throw new Subsystem.StartException("the folder kept = " + kept + " can't be used: " + e);
         }
         guard = new ListGuard(section.limits(), earlier(section));
-        look();
+        fileChanged();
         if (fault != null) {
             tellFault(fault.getMessage());
         }
@@ -71,7 +71,7 @@
     }
 
     /** The list that an earlier process went by. */
-    private Generation earlier(ListsSection from) throws Subsystem.CantStart {
+    private Generation earlier(ListsSection from) throws Subsystem.StartException {
         Path file = kept.resolve(KEPT);
         if (!Files.exists(file)) {
             return null;
@@ -80,9 +80,9 @@
             Generation list = ListFiles.reread(file, from.bounds());
             status = status.inForce(list, System.currentTimeMillis());
             return list;
-        } catch (ListFault e) {
+        } catch (InvalidListException e) {
             // A guess at which endpoints there are would be worse than not to start.
-            throw new Subsystem.CantStart("the list kept can't be read, remove it to start without: " + e.getMessage());
+            throw new Subsystem.StartException("the list kept can't be read, remove it to start without: " + e.getMessage());
         }
     }
 
@@ -101,20 +101,20 @@
         roster.drainFor(newer.drain());
     }
 
-    @Override public Optional<ListGate> listGate() {
+    @Override public Optional<ListFilter> listFilter() {
         return Optional.of(this);
     }
 
-    @Override public ListLine discovered(ListLine line, long now) {
-        ListLine changes = roster.discovered(line, now);
+    @Override public ListUpdate filter(ListUpdate line, long now) {
+        ListUpdate changes = roster.discovered(line, now);
         drainLater(now);
         return changes;
     }
 
     private void take(Generation list, List<String> differing) {
         long now = host.now();
-        ListLine changes = roster.accepted(list, differing, now);
-        host.listed(changes);
+        ListUpdate changes = roster.accepted(list, differing, now);
+        host.updateEndpoints(changes);
         drainLater(now);
     }
 
@@ -123,12 +123,12 @@
         long at = roster.dueAt();
         if (at < dueAt) {
             dueAt = at;
-            host.later(() -> {
+            host.schedule(() -> {
                 dueAt = Long.MAX_VALUE;
                 long then = host.now();
-                ListLine gone = roster.due(then);
+                ListUpdate gone = roster.due(then);
                 if (!gone.entries().isEmpty()) {
-                    host.listed(gone);
+                    host.updateEndpoints(gone);
                 }
                 drainLater(then);
             }, Math.max(0, at - now));
@@ -137,7 +137,7 @@
 
     // ---- On the watching thread ----
 
-    @Override public boolean look() {
+    @Override public boolean fileChanged() {
         ListsSection now = section.get();
         guard.limit(now.limits());
         try {
@@ -154,19 +154,19 @@
             }
             settled = found.bytes();
             if (fault != null && !faultTold.isEmpty()) {
-                LogEvent.tell(LOG, Level.INFO, "lists.readable", "lists: {manifest} can be read again",
+                LogEvent.log(LOG, Level.INFO, "lists.readable", "lists: {manifest} can be read again",
                         "manifest", now.manifest());
             }
             fault = null;
             faultTold = "";
             return true;
-        } catch (ListFault e) {
+        } catch (InvalidListException e) {
             fault = e;
             return false;
         }
     }
 
-    @Override public void stays() {
+    @Override public void stillUnfinished() {
         if (fault != null) {
             tellFault(fault.getMessage());
         }
@@ -178,7 +178,7 @@
         if (!what.equals(faultTold) && now >= quietUntil) {
             faultTold = what;
             quietUntil = now + QUIET;
-            LogEvent.tell(LOG, Level.WARNING, "lists.fault", "lists: {fault}; the list in force stays", "fault", what);
+            LogEvent.log(LOG, Level.WARNING, "lists.fault", "lists: {fault}; the list in force stays", "fault", what);
         }
         say(status.faulty(what, System.currentTimeMillis()));
     }
@@ -187,7 +187,7 @@
         Generation before = guard.inForce();
         ListGuard.Verdict verdict = guard.judge(list, confirm, host.now());
         if (verdict instanceof ListGuard.HeldBack held) {
-            LogEvent.tell(LOG, Level.WARNING, "lists.held", "lists: {print} \"{label}\" is held back until the manifest "
+            LogEvent.log(LOG, Level.WARNING, "lists.held", "lists: {print} \"{label}\" is held back until the manifest "
                     + "confirms {print}: {reasons}", "print", list.print(), "label", list.label(), "reasons",
                     String.join("; ", held.reasons()));
             say(status.heldBack(list, held.reasons(), System.currentTimeMillis()));
@@ -201,7 +201,7 @@
                     return; // The node has stopped.
                 }
             }
-            LogEvent.tell(LOG, Level.INFO, "lists.inforce", "lists: {print} \"{label}\" with {endpoints} endpoints is in "
+            LogEvent.log(LOG, Level.INFO, "lists.inforce", "lists: {print} \"{label}\" with {endpoints} endpoints is in "
                     + "force{confirmed}", "print", list.print(), "label", list.label(), "endpoints",
                     list.endpoints().size(), "confirmed", accepted.confirmed() ? ", as confirmed" : "");
             keep(list);
@@ -211,9 +211,9 @@
 
     /** Guards the loop: what is new is made ready piece by piece, each after the turns that the one before held up. */
     private void prepare(Generation list, List<String> differing) {
-        List<ListLine.Entry> entries = differing.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
+        List<ListUpdate.Entry> entries = differing.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
         for (int from = 0; entries.size() > PIECE && from < entries.size(); from += PIECE) {
-            List<ListLine.Entry> piece = entries.subList(from, Math.min(from + PIECE, entries.size()));
+            List<ListUpdate.Entry> piece = entries.subList(from, Math.min(from + PIECE, entries.size()));
             try {
                 CompletableFuture.runAsync(() -> host.prepare(piece), host.loop()).get(PIECE_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
@@ -235,7 +235,7 @@
             }
             Files.move(next, kept.resolve(KEPT), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            LogEvent.tell(LOG, Level.WARNING, "lists.kept", "lists: {print} can't be kept for the next start: {why}",
+            LogEvent.log(LOG, Level.WARNING, "lists.kept", "lists: {print} can't be kept for the next start: {why}",
                     "print", list.print(), "why", e.getMessage());
         }
     }
@@ -245,7 +245,7 @@
         try {
             next.write(kept);
         } catch (IOException e) {
-            LogEvent.tell(LOG, Level.WARNING, "lists.status", "lists: status can't be written: {why}", "why", e.getMessage());
+            LogEvent.log(LOG, Level.WARNING, "lists.status", "lists: status can't be written: {why}", "why", e.getMessage());
         }
     }
 }
--- a/lists/src/test/java/wrenreach/lists/ListFilesTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListFilesTest.java
@@ -22,7 +22,7 @@
     private static final String HEAD = "{\"format\":\"wrenreach-list\",\"version\":1}\n";
     @TempDir Path folder;
 
-    private static Generation part(String text) throws ListFault {
+    private static Generation part(String text) throws InvalidListException {
         ListFiles.Reading reading = new ListFiles.Reading(BOUNDS, null);
         reading.part(FILE, new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
         return new Generation("", "", reading.endpoints);
@@ -54,12 +54,12 @@
         for (int cut = 0; cut < whole.length - 1; cut++) {
             byte[] bytes = Arrays.copyOf(whole, cut);
             assertThat(catchThrowable(() -> new ListFiles.Reading(BOUNDS, null).part(FILE, new ByteArrayInputStream(bytes)))).as("cut at " + cut)
-                    .isInstanceOf(ListFault.class);
+                    .isInstanceOf(InvalidListException.class);
         }
         for (int cut = 0; cut < manifest.length - 1; cut++) {
             byte[] bytes = Arrays.copyOf(manifest, cut);
             assertThat(catchThrowable(() -> ListFiles.manifest(FILE, bytes))).as("cut at " + cut)
-                    .isInstanceOf(ListFault.class);
+                    .isInstanceOf(InvalidListException.class);
         }
     }
 
@@ -81,7 +81,7 @@
         "[] | part:2: it ends without {\"end\": 0}: cut off",
     })
     void whatIsWrongIsNamedWithItsLine(String text, String fault) {
-        assertThatThrownBy(() -> part(HEAD + text.replace("E", endpoint("")))).isInstanceOf(ListFault.class)
+        assertThatThrownBy(() -> part(HEAD + text.replace("E", endpoint("")))).isInstanceOf(InvalidListException.class)
                 .hasMessage(fault);
     }
 
@@ -94,7 +94,7 @@
         assertThatThrownBy(() -> part(many.toString().replace(":0,", ":1,"))).hasMessageContaining("more than 3 endpoints");
         assertThatThrownBy(() -> part("{\"format\":\"wrenreach-list\",\"version\":2}\n{\"end\":0}"))
                 .hasMessage("part:1: is not of the format wrenreach-list, version 1, but wrenreach-list, version 2");
-        assertThatThrownBy(() -> part("{\"format\":\"other\",\"version\":1}\n")).isInstanceOf(ListFault.class);
+        assertThatThrownBy(() -> part("{\"format\":\"other\",\"version\":1}\n")).isInstanceOf(InvalidListException.class);
     }
 
     @ParameterizedTest
--- a/lists/src/test/java/wrenreach/lists/Lists.java
+++ b/lists/src/test/java/wrenreach/lists/Lists.java
@@ -2,22 +2,22 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /** Small lists for tests: an endpoint a word, destination/name@zone, with a trailing ! where it drains. */
 final class Lists {
     private Lists() { }
 
-    static ListLine.Entry entry(String word) {
+    static ListUpdate.Entry entry(String word) {
         boolean drains = word.endsWith("!");
         String[] parts = word.replace("!", "").split("[/@]");
         int destination = Integer.parseInt(parts[0]);
-        return new ListLine.Entry(Generation.id(destination, parts[1]), "127.0.0.1:9", parts[2], "small", destination,
+        return new ListUpdate.Entry(Generation.id(destination, parts[1]), "127.0.0.1:9", parts[2], "small", destination,
                 drains ? Generation.DRAINING : Generation.SERVING, 1);
     }
 
     static Generation list(String words) {
-        Map<String, ListLine.Entry> entries = new LinkedHashMap<>();
+        Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
         for (String word : words.isEmpty() ? new String[0] : words.split(" ")) {
             entries.put(entry(word).name(), entry(word));
         }
--- a/lists/src/test/java/wrenreach/lists/ListsBench.java
+++ b/lists/src/test/java/wrenreach/lists/ListsBench.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 /**
  * Measures watched lists on loopback; run by bench/lists.sh, outside CI. Arguments: rounds of the first measurement,
@@ -58,11 +58,11 @@
     }
 
     private static byte[] part(int endpoints, int destinations, int without) throws IOException {
-        Map<String, ListLine.Entry> entries = new LinkedHashMap<>();
+        Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
         for (int i = without; i < endpoints; i++) {
             int destination = 1 + i % destinations;
             String id = Generation.id(destination, "server-" + i);
-            entries.put(id, new ListLine.Entry(id, "127.1." + i / 250 % 250 + "." + (1 + i % 250) + ":8080", "zone-" + i % 7,
+            entries.put(id, new ListUpdate.Entry(id, "127.1." + i / 250 % 250 + "." + (1 + i % 250) + ":8080", "zone-" + i % 7,
                     "small", destination, Generation.SERVING, 10));
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/lists/src/test/java/wrenreach/lists/Loopback.java
+++ b/lists/src/test/java/wrenreach/lists/Loopback.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import wrenreach.Choice;
+import wrenreach.DeliveryDispatcher;
 import wrenreach.held.Journal;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
 
@@ -79,7 +79,7 @@
                 "127.0.0.1:" + platform.getAddress().getPort());
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
         Path state = Files.createDirectories(folder.resolve("state"));
-        node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), Choice::new);
+        node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), DeliveryDispatcher::new);
         node.add("lists", new WatchedLists(section, node));
         node.start();
         InetSocketAddress door = node.serving().get(20, TimeUnit.SECONDS);
@@ -101,10 +101,10 @@
 
     /** Puts a list of these receivers in place; when the manifest's name was replaced (nanoTime). */
     long put(String label, List<Integer> which) throws Exception {
-        Map<String, ListLine.Entry> entries = new LinkedHashMap<>();
+        Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
         for (int i : which) {
             String id = Generation.id(1, "r" + i);
-            entries.put(id, new ListLine.Entry(id, "127.0.0.1:" + receivers.get(i).getAddress().getPort(), "home", "small",
+            entries.put(id, new ListUpdate.Entry(id, "127.0.0.1:" + receivers.get(i).getAddress().getPort(), "home", "small",
                     1, Generation.SERVING, 1000));
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/lists/src/test/java/wrenreach/lists/RosterTest.java
+++ b/lists/src/test/java/wrenreach/lists/RosterTest.java
@@ -11,24 +11,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wrenreach.endpoints.ListLine;
+import wrenreach.endpoints.ListUpdate;
 
 class RosterTest {
     private static final long DRAIN = 10;
-    private final Map<String, ListLine.Entry> module = new HashMap<>();
+    private final Map<String, ListUpdate.Entry> module = new HashMap<>();
 
-    private static ListLine.Entry told(String name, int destination, String status) {
-        return new ListLine.Entry(name, "127.0.0.1:1", "n", "small", destination, status, 1);
+    private static ListUpdate.Entry told(String name, int destination, String status) {
+        return new ListUpdate.Entry(name, "127.0.0.1:1", "n", "small", destination, status, 1);
     }
 
-    private static ListLine line(boolean whole, ListLine.Entry... entries) {
-        return new ListLine(1, whole, List.of(entries));
+    private static ListUpdate line(boolean whole, ListUpdate.Entry... entries) {
+        return new ListUpdate(1, whole, List.of(entries));
     }
 
     /** What the module knows after a line, as short words. */
-    private List<String> after(ListLine line) {
+    private List<String> after(ListUpdate line) {
         assertThat(line.whole()).isFalse();
-        for (ListLine.Entry entry : line.entries()) {
+        for (ListUpdate.Entry entry : line.entries()) {
             if (entry.status().equals(Generation.DELETED)) {
                 assertThat(module.remove(entry.name())).as("gone and never told: " + entry).isNotNull();
             } else {
@@ -41,7 +41,7 @@
 
     private Generation inForce;
 
-    private ListLine accept(Roster roster, Generation next, long now) {
+    private ListUpdate accept(Roster roster, Generation next, long now) {
         List<String> differing = Generation.differing(inForce, next);
         inForce = next;
         return roster.accepted(next, differing, now);
@@ -86,7 +86,7 @@
         Random random = new Random(seed);
         boolean all = seed % 2 == 0;
         Roster roster = new Roster(all, DRAIN, null);
-        Map<String, ListLine.Entry> known = new HashMap<>();
+        Map<String, ListUpdate.Entry> known = new HashMap<>();
         Generation files = null;
         for (long now = 0; now < 2000; now++) {
             int kind = random.nextInt(10);
@@ -100,7 +100,7 @@
             } else if (kind < 7) {
                 boolean whole = kind == 1;
                 int destination = random.nextInt(4);
-                ListLine.Entry entry = told("d" + destination + "-" + random.nextInt(3), destination,
+                ListUpdate.Entry entry = told("d" + destination + "-" + random.nextInt(3), destination,
                         List.of("SERVING", "DRAINING", "DELETED").get(whole ? 0 : random.nextInt(3)));
                 if (whole) {
                     known.clear();
@@ -111,17 +111,17 @@
             } else {
                 after(roster.due(now));
             }
-            Map<String, ListLine.Entry> expected = new HashMap<>();
+            Map<String, ListUpdate.Entry> expected = new HashMap<>();
             if (files != null) {
                 expected.putAll(files.endpoints());
             }
-            for (ListLine.Entry entry : known.values()) {
+            for (ListUpdate.Entry entry : known.values()) {
                 if (files == null || !all && !files.serving().containsKey(entry.group())) {
                     expected.put(entry.name(), entry);
                 }
             }
             expected.values().removeIf(e -> !Generation.serves(e));
-            Map<String, ListLine.Entry> serving = new HashMap<>(module);
+            Map<String, ListUpdate.Entry> serving = new HashMap<>(module);
             serving.values().removeIf(e -> !Generation.serves(e));
             assertThat(serving).as("after step " + now).isEqualTo(expected);
         }
--- a/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
+++ b/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
@@ -31,11 +31,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import wrenreach.api.Settings;
-import wrenreach.frame.Host;
+import wrenreach.frame.NodeContext;
 import wrenreach.frame.Subsystem;
 import wrenreach.held.Submission;
-import wrenreach.net.Asker;
-import wrenreach.endpoints.ListLine;
+import wrenreach.net.ReplyHandle;
+import wrenreach.endpoints.ListUpdate;
 
 /** Watched files beside a host that only notes what it is told. */
 class WatchedListsTest {
@@ -43,8 +43,8 @@
     private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
     /** What the module would know after each line, as the names of the endpoints that serve. */
     private final LinkedBlockingQueue<Set<String>> pictures = new LinkedBlockingQueue<>();
-    private final Map<String, ListLine.Entry> known = new HashMap<>();
-    private final Host host = new Host() {
+    private final Map<String, ListUpdate.Entry> known = new HashMap<>();
+    private final NodeContext host = new NodeContext() {
         @Override public String name() {
             return "test";
         }
@@ -57,7 +57,7 @@
             return loop;
         }
 
-        @Override public void later(Runnable work, long delay) {
+        @Override public void schedule(Runnable work, long delay) {
             loop.schedule(work, delay, TimeUnit.MICROSECONDS);
         }
 
@@ -65,17 +65,17 @@
             return System.nanoTime() / 1000;
         }
 
-        @Override public void prepare(List<ListLine.Entry> entries) { }
+        @Override public void prepare(List<ListUpdate.Entry> entries) { }
 
-        @Override public void listed(ListLine line) {
-            for (ListLine.Entry entry : line.entries()) {
+        @Override public void updateEndpoints(ListUpdate line) {
+            for (ListUpdate.Entry entry : line.entries()) {
                 known.put(entry.name(), entry);
             }
             pictures.add(known.values().stream().filter(Generation::serves).map(e -> Generation.name(e.name()))
                     .collect(Collectors.toSet()));
         }
 
-        @Override public void handIn(Submission submission, long lifetimeMs, Asker asker) { }
+        @Override public void submit(Submission submission, long lifetimeMs, ReplyHandle asker) { }
     };
     private final List<Set<String>> seen = new ArrayList<>();
     private WatchedLists lists;
@@ -99,9 +99,9 @@
         return new ListsSection(manifest(), kept(), "all", mostGone, 0, 10_000, 300_000, 100_000, 1 << 20, 10_000, 4096);
     }
 
-    private void start(double mostGone) throws Subsystem.CantStart {
+    private void start(double mostGone) throws Subsystem.StartException {
         lists = new WatchedLists(section(mostGone), host);
-        loop.execute(() -> host.listed(lists.discovered(new ListLine(0, true, List.of()), host.now())));
+        loop.execute(() -> host.updateEndpoints(lists.filter(new ListUpdate(0, true, List.of()), host.now())));
         loop.execute(lists::serving);
     }
 
@@ -278,10 +278,10 @@
     @Test void aKeptListThatIsTornStopsTheStart() throws Exception {
         Files.createDirectories(kept());
         Files.write(kept().resolve(WatchedLists.KEPT), Arrays.copyOf(part("a"), 50));
-        assertThatThrownBy(() -> new WatchedLists(section(1), host)).isInstanceOf(Subsystem.CantStart.class)
+        assertThatThrownBy(() -> new WatchedLists(section(1), host)).isInstanceOf(Subsystem.StartException.class)
                 .hasMessageContaining("the list kept can't be read");
         Path file = Files.writeString(folder.resolve("file"), "");
         assertThatThrownBy(() -> new WatchedLists(new ListsSection(manifest(), file.resolve("x"), "all", 1, 0, 0, 1, 1, 1, 1, 1),
-                host)).isInstanceOf(Subsystem.CantStart.class).hasMessageContaining("can't be used");
+                host)).isInstanceOf(Subsystem.StartException.class).hasMessageContaining("can't be used");
     }
 }
--- a/log/src/main/java/wrenreach/log/JsonLog.java
+++ b/log/src/main/java/wrenreach/log/JsonLog.java
@@ -34,33 +34,33 @@
  * lines, which are counted, and never a turn. Nothing of Logback is loaded before {@link #start}.
  */
 public final class JsonLog implements AutoCloseable {
-    private static final int QUEUE = 1024;
+    private static final int QUEUE_LENGTH = 1024;
     /** How long the queue may take to empty at the end, in milliseconds. */
-    private static final int LAST_MS = 500;
-    private static final String NODE = "node", EVENT = "event", MESSAGE = "message";
+    private static final int FLUSH_TIMEOUT_MS = 500;
+    private static final String NODE_FIELD = "node", EVENT_FIELD = "event", MESSAGE_FIELD = "message";
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Logger root = LogManager.getLogManager().getLogger("");
-    private final Handler[] before = root.getHandlers();
+    private final Handler[] previousHandlers = root.getHandlers();
     private final LoggerContext context = new LoggerContext();
     private final AsyncAppender queue = new AsyncAppender();
     private final String node;
     private long dropped;
     /** How many of those lost the log has told of. */
-    private long told;
+    private long reportedDropped;
 
     private JsonLog(String node, OutputStream out) {
         this.node = node;
-        JsonLines lines = new JsonLines();
+        JsonLayout lines = new JsonLayout();
         LayoutWrappingEncoder<ILoggingEvent> encoder = new LayoutWrappingEncoder<>();
         encoder.setCharset(StandardCharsets.UTF_8);
         encoder.setLayout(lines);
         OutputStreamAppender<ILoggingEvent> written = new OutputStreamAppender<>();
         written.setEncoder(encoder);
-        queue.setQueueSize(QUEUE);
+        queue.setQueueSize(QUEUE_LENGTH);
         queue.setDiscardingThreshold(0);
         queue.setNeverBlock(true);
-        queue.setMaxFlushTime(LAST_MS);
+        queue.setMaxFlushTime(FLUSH_TIMEOUT_MS);
         queue.setName("log");
         lines.setContext(context);
         encoder.setContext(context);
@@ -77,10 +77,10 @@
         ch.qos.logback.classic.Logger all = context.getLogger(ch.qos.logback.classic.Logger.ROOT_LOGGER_NAME);
         all.setLevel(ch.qos.logback.classic.Level.ALL);
         all.addAppender(queue);
-        for (Handler handler : before) {
+        for (Handler handler : previousHandlers) {
             root.removeHandler(handler);
         }
-        root.addHandler(new Bridge());
+        root.addHandler(new BridgeHandler());
     }
 
     /** From now on every log line of this process is a JSON object on out, which names the node. */
@@ -98,15 +98,15 @@
         for (Handler handler : root.getHandlers()) {
             root.removeHandler(handler);
         }
-        for (Handler handler : before) {
+        for (Handler handler : previousHandlers) {
             root.addHandler(handler);
         }
         context.stop();
     }
 
     /** From the JDK's records to SLF4J's events. */
-    private final class Bridge extends Handler {
-        private final SimpleFormatter plain = new SimpleFormatter();
+    private final class BridgeHandler extends Handler {
+        private final SimpleFormatter formatter = new SimpleFormatter();
 
         @Override public void publish(LogRecord record) {
             if (!isLoggable(record)) {
@@ -119,22 +119,22 @@
                     dropped++;
                     return;
                 }
-                if (told < dropped) {
-                    log.atWarn().addKeyValue(EVENT, "log.dropped").addKeyValue("lines", dropped - told)
+                if (reportedDropped < dropped) {
+                    log.atWarn().addKeyValue(EVENT_FIELD, "log.dropped").addKeyValue("lines", dropped - reportedDropped)
                             .log("log: lines were lost, the reader of the log stood still");
-                    told = dropped;
+                    reportedDropped = dropped;
                 }
             }
             var event = log.atLevel(level(record.getLevel())).setCause(record.getThrown());
             Object[] given = record.getParameters();
             if (given != null && given.length == 1 && given[0] instanceof LogEvent told) {
-                event = event.addKeyValue(EVENT, told.name());
+                event = event.addKeyValue(EVENT_FIELD, told.name());
                 for (Map.Entry<String, Object> field : told.fields().entrySet()) {
                     event = event.addKeyValue(field.getKey(), field.getValue());
                 }
                 event.log(told.toString());
             } else {
-                event.addKeyValue(EVENT, "line").log(plain.formatMessage(record));
+                event.addKeyValue(EVENT_FIELD, "line").log(formatter.formatMessage(record));
             }
         }
 
@@ -151,14 +151,14 @@
     }
 
     /** Writes one event as one line. */
-    private final class JsonLines extends LayoutBase<ILoggingEvent> {
+    private final class JsonLayout extends LayoutBase<ILoggingEvent> {
         @Override public String doLayout(ILoggingEvent event) {
             StringWriter line = new StringWriter();
             try (JsonGenerator out = JSON.createGenerator(line)) {
                 out.writeStartObject();
                 out.writeStringField("time", Instant.ofEpochMilli(event.getTimeStamp()).toString());
                 out.writeStringField("level", event.getLevel().toString());
-                out.writeStringField(NODE, node);
+                out.writeStringField(NODE_FIELD, node);
                 out.writeStringField("logger", event.getLoggerName());
                 List<KeyValuePair> pairs = event.getKeyValuePairs();
                 for (KeyValuePair pair : pairs == null ? List.<KeyValuePair>of() : pairs) {
@@ -173,7 +173,7 @@
                         out.writeString(String.valueOf(pair.value));
                     }
                 }
-                out.writeStringField(MESSAGE, event.getFormattedMessage());
+                out.writeStringField(MESSAGE_FIELD, event.getFormattedMessage());
                 IThrowableProxy thrown = event.getThrowableProxy();
                 if (thrown != null) {
                     out.writeStringField("thrown", ThrowableProxyUtil.asString(thrown));
--- a/log/src/main/java/wrenreach/log/LogEvent.java
+++ b/log/src/main/java/wrenreach/log/LogEvent.java
@@ -13,12 +13,12 @@
      * Logs an event where the level is on. pattern: the line, with {field} where a field's value goes; fields: names
      * and values in turn, in the order they are printed.
      */
-    public static void tell(System.Logger log, Level level, String name, String pattern, Object... fields) {
-        tell(log, level, null, name, pattern, fields);
+    public static void log(System.Logger log, Level level, String name, String pattern, Object... fields) {
+        log(log, level, null, name, pattern, fields);
     }
 
     /** The same with what was thrown; null: nothing was. */
-    public static void tell(System.Logger log, Level level, Throwable thrown, String name, String pattern,
+    public static void log(System.Logger log, Level level, Throwable thrown, String name, String pattern,
                             Object... fields) {
         if (!log.isLoggable(level)) {
             return;
