--- a/node/src/main/java/wrenreach/endpoints/EndpointTable.java
+++ b/node/src/main/java/wrenreach/endpoints/EndpointTable.java
@@ -24,13 +24,13 @@
     /** A row's status: it is free or not in the list, serves, drains. */
     public static final byte ABSENT = 0, SERVING = 1, DRAINING = 2;
 
-    private static final int SHIFT = 10, CHUNK = 1 << SHIFT, MASK = CHUNK - 1;
+    private static final int CHUNK_SHIFT = 10, CHUNK_ROWS = 1 << CHUNK_SHIFT, CHUNK_MASK = CHUNK_ROWS - 1;
     /** Parts of each index, so that one grows in a fraction of a millisecond; a power of two. */
-    private static final int PARTS = 64;
+    private static final int INDEX_PARTS = 64;
     /** Bytes of a row beside its name: its columns, and its part of the buckets of both indices. */
     private static final int ROW_BYTES = 56;
     /** Zones and types that differ; more are a fault of the list. */
-    private static final int WORDS = 4096;
+    private static final int MAX_ZONES_AND_TYPES = 4096;
 
     /** The list can't be held; the message names the figure. */
     public static final class TooLarge extends IOException {
@@ -43,74 +43,74 @@
 
     /** So many rows, column by column, and their names, one behind the other. */
     private static final class Chunk {
-        final int[] group = new int[CHUNK];
-        final int[] nextByName = new int[CHUNK];
-        final int[] nextByGroup = new int[CHUNK];
-        final double[] weight = new double[CHUNK];
-        final short[] zone = new short[CHUNK];
-        final short[] type = new short[CHUNK];
-        final byte[][] status = {new byte[CHUNK], new byte[CHUNK]};
-        final boolean[] linked = new boolean[CHUNK];
+        final int[] group = new int[CHUNK_ROWS];
+        final int[] nextByName = new int[CHUNK_ROWS];
+        final int[] nextByGroup = new int[CHUNK_ROWS];
+        final double[] weight = new double[CHUNK_ROWS];
+        final short[] zone = new short[CHUNK_ROWS];
+        final short[] type = new short[CHUNK_ROWS];
+        final byte[][] status = {new byte[CHUNK_ROWS], new byte[CHUNK_ROWS]};
+        final boolean[] linked = new boolean[CHUNK_ROWS];
         /** Packed, or the length of its text, negative, which follows the name. */
-        final long[] address = new long[CHUNK];
-        final int[] textAt = new int[CHUNK];
-        final short[] nameLength = new short[CHUNK];
+        final long[] address = new long[CHUNK_ROWS];
+        final int[] textOffset = new int[CHUNK_ROWS];
+        final short[] nameLength = new short[CHUNK_ROWS];
         byte[] text = new byte[0];
-        private int used;
-        private int erased;
+        private int usedBytes;
+        private int erasedBytes;
 
         int textLength(int place) {
             return nameLength[place] + (int) Math.max(0, -1 - address[place]);
         }
 
-        int write(byte[] name, byte[] behind) {
+        int appendText(byte[] name, byte[] behind) {
             int needed = name.length + behind.length;
-            if (used + needed > text.length) {
-                if (erased > used / 2) {
+            if (usedBytes + needed > text.length) {
+                if (erasedBytes > usedBytes / 2) {
                     compact();
                 }
-                text = Arrays.copyOf(text, Math.max(used + needed, Math.min(used + used / 8 + 256, used + needed + 4096)));
+                text = Arrays.copyOf(text, Math.max(usedBytes + needed, Math.min(usedBytes + usedBytes / 8 + 256, usedBytes + needed + 4096)));
             }
-            System.arraycopy(name, 0, text, used, name.length);
-            System.arraycopy(behind, 0, text, used + name.length, behind.length);
-            used += needed;
-            return used - needed;
+            System.arraycopy(name, 0, text, usedBytes, name.length);
+            System.arraycopy(behind, 0, text, usedBytes + name.length, behind.length);
+            usedBytes += needed;
+            return usedBytes - needed;
         }
 
-        void erase(int place) {
-            erased += textLength(place);
+        void eraseText(int place) {
+            erasedBytes += textLength(place);
             nameLength[place] = 0;
             address[place] = 0;
         }
 
         private void compact() {
-            byte[] kept = new byte[used - erased];
+            byte[] kept = new byte[usedBytes - erasedBytes];
             int at = 0;
-            for (int place = 0; place < CHUNK; place++) {
+            for (int place = 0; place < CHUNK_ROWS; place++) {
                 if (linked[place]) {
                     int length = textLength(place);
-                    System.arraycopy(text, textAt[place], kept, at, length);
-                    textAt[place] = at;
+                    System.arraycopy(text, textOffset[place], kept, at, length);
+                    textOffset[place] = at;
                     at += length;
                 }
             }
             text = kept;
-            used = at;
-            erased = 0;
+            usedBytes = at;
+            erasedBytes = 0;
         }
     }
 
     private final List<Chunk> chunks = new ArrayList<>();
-    private final Index byName = new Index() {
+    private final RowIndex byName = new RowIndex() {
         @Override int key(Chunk chunk, int place) {
-            return hash(chunk.text, chunk.textAt[place], chunk.nameLength[place]);
+            return hash(chunk.text, chunk.textOffset[place], chunk.nameLength[place]);
         }
 
         @Override int[] next(Chunk chunk) {
             return chunk.nextByName;
         }
     };
-    private final Index byGroup = new Index() {
+    private final RowIndex byGroup = new RowIndex() {
         @Override int key(Chunk chunk, int place) {
             return chunk.group[place];
         }
@@ -120,33 +120,33 @@
         }
     };
     /** Zones and types as lists word them. */
-    private final List<String> words = new ArrayList<>();
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Numbers free = new Numbers();
-    private final long limit;
-    private final String limitFrom;
+    private final List<String> zonesAndTypes = new ArrayList<>();
+    private final Map<String, Integer> zoneAndTypeNumbers = new HashMap<>();
+    private final IntList freeRows = new IntList();
+    private final long maxBytes;
+    private final String limitSource;
     private int rows;
     private long textBytes;
     /** Which of the two statuses holds. */
-    private int current;
+    private int currentView;
     private int size;
     private int stagedSize;
     private long index = -1;
     /** Rows that the staged list names or takes out, in its order; a row may stand there twice. */
-    private final Numbers touched = new Numbers();
+    private final IntList changedRows = new IntList();
     /** Rows whose address or weight the staged list changes, and to what. */
-    private final Numbers amended = new Numbers();
+    private final IntList amendedRows = new IntList();
     private long[] amendments = new long[0];
-    private final BitSet named = new BitSet();
-    private int settled;
+    private final BitSet namedRows = new BitSet();
+    private int reclaimedCount;
     private boolean staging;
-    private int leftFrom;
-    private long lists;
+    private int implicitRemovalsFrom;
+    private long listsBegun;
 
     /** limit: the most bytes that it may take; limitFrom: where that figure comes from, for whoever has to raise it. */
     public EndpointTable(long limit, String limitFrom) {
-        this.limit = limit;
-        this.limitFrom = limitFrom;
+        this.maxBytes = limit;
+        this.limitSource = limitFrom;
     }
 
     /** Endpoints in force. */
@@ -161,44 +161,44 @@
 
     /** Bytes that its rows take, worked out: those in force and those staged. */
     public long bytes() {
-        return (long) (rows - free.size()) * ROW_BYTES + textBytes;
+        return (long) (rows - freeRows.size()) * ROW_BYTES + textBytes;
     }
 
     // ---- Staging ----
 
     /** Takes a line at once, whole or not at all. */
-    public void take(ListLine line) throws IOException {
+    public void apply(ListUpdate line) throws IOException {
         ListSink sink = sink();
         sink.begin();
-        for (ListLine.Entry entry : line.entries()) {
+        for (ListUpdate.Entry entry : line.entries()) {
             sink.entry(entry);
         }
         sink.end(line.index(), line.whole());
     }
 
     /** All that is in force, as one line. */
-    public ListLine whole() {
-        List<ListLine.Entry> entries = new ArrayList<>(size);
+    public ListUpdate snapshot() {
+        List<ListUpdate.Entry> entries = new ArrayList<>(size);
         for (int row = 0; row < rows; row++) {
             if (status(row) != ABSENT) {
                 entries.add(entry(row));
             }
         }
-        return new ListLine(Math.max(0, index), true, entries);
+        return new ListUpdate(Math.max(0, index), true, entries);
     }
 
     /** What the last list named or took out, as one line. */
-    public ListLine changes() {
-        List<ListLine.Entry> entries = new ArrayList<>(touched.size());
-        for (int i = 0; i < touched.size(); i++) {
-            entries.add(entry(touched.get(i)));
+    public ListUpdate delta() {
+        List<ListUpdate.Entry> entries = new ArrayList<>(changedRows.size());
+        for (int i = 0; i < changedRows.size(); i++) {
+            entries.add(entry(changedRows.get(i)));
         }
-        return new ListLine(index, false, entries);
+        return new ListUpdate(index, false, entries);
     }
 
     /** Another one with nothing in it, of the same bound. */
-    public EndpointTable empty() {
-        return new EndpointTable(limit, limitFrom);
+    public EndpointTable newEmpty() {
+        return new EndpointTable(maxBytes, limitSource);
     }
 
     /** Stages one list as it is read, and puts it in force at its end. */
@@ -207,18 +207,18 @@
     }
 
     /** The same; changes: hears of each entry that differs from what is in force. */
-    public ListSink sink(Consumer<ListLine.Entry> changes) {
+    public ListSink sink(Consumer<ListUpdate.Entry> changes) {
         return new ListSink() {
             private long mine;
 
             @Override public void begin() {
                 EndpointTable.this.begin();
-                mine = lists;
+                mine = listsBegun;
             }
 
-            @Override public void entry(ListLine.Entry entry) throws IOException {
+            @Override public void entry(ListUpdate.Entry entry) throws IOException {
                 check();
-                if (put(entry)) {
+                if (stage(entry)) {
                     changes.accept(entry);
                 }
             }
@@ -230,7 +230,7 @@
 
             /** Guards against a mixture of two lists that come at the same time. */
             private void check() throws IOException {
-                if (mine != lists) {
+                if (mine != listsBegun) {
                     throw new IOException("another list began before it had ended");
                 }
             }
@@ -239,32 +239,32 @@
 
     /** Begins a list; what was staged and not put in force is given up. */
     public void begin() {
-        lists++;
+        listsBegun++;
         staging = false;
-        settle(Integer.MAX_VALUE);
+        reclaim(Integer.MAX_VALUE);
         staging = true;
-        touched.clear();
-        amended.clear();
+        changedRows.clear();
+        amendedRows.clear();
         amendments = new long[0];
-        named.clear();
-        settled = 0;
+        namedRows.clear();
+        reclaimedCount = 0;
         stagedSize = size;
     }
 
     /** Stages an entry of the list that was begun; false: it is in force as it is. */
-    public boolean put(ListLine.Entry entry) throws TooLarge {
-        if (touched.size() > 2 * (limit / ROW_BYTES)) {
-            throw tooLarge("a list that names and takes out more than " + touched.size() + " endpoints");
+    public boolean stage(ListUpdate.Entry entry) throws TooLarge {
+        if (changedRows.size() > 2 * (maxBytes / ROW_BYTES)) {
+            throw tooLarge("a list that names and takes out more than " + changedRows.size() + " endpoints");
         }
         byte[] name = entry.name().getBytes(StandardCharsets.UTF_8);
-        int next = 1 - current;
+        int next = 1 - currentView;
         int row = find(name, next);
         byte status = entry.status().equals("DELETED") ? ABSENT : entry.status().equals("DRAINING") ? DRAINING : SERVING;
-        long address = pack(entry.address());
-        if (row != NONE && (status == ABSENT || !remains(row, entry, address))) {
-            set(row, next, ABSENT);
+        long address = packAddress(entry.address());
+        if (row != NONE && (status == ABSENT || !canRepresent(row, entry, address))) {
+            setStatus(row, next, ABSENT);
             stagedSize--;
-            touched.add(row);
+            changedRows.add(row);
             row = NONE;
         }
         boolean changes = true;
@@ -272,83 +272,83 @@
             return changes;
         }
         if (row == NONE) {
-            row = add(name, entry, address);
+            row = addRow(name, entry, address);
             stagedSize++;
         } else {
-            boolean amends = amend(row, address, entry.weight());
-            changes = amends || at(row).status[next][row & MASK] != status || named.get(row);
+            boolean amends = stageAmendment(row, address, entry.weight());
+            changes = amends || chunkOf(row).status[next][row & CHUNK_MASK] != status || namedRows.get(row);
         }
-        set(row, next, status);
-        named.set(row);
-        touched.add(row);
+        setStatus(row, next, status);
+        namedRows.set(row);
+        changedRows.add(row);
         return changes;
     }
 
     /** Puts the staged list in force: all at once. whole: what it does not name is out of the list. */
     public void commit(long version, boolean whole) {
-        int next = 1 - current;
-        leftFrom = touched.size();
-        for (int row = named.nextClearBit(0); whole && row < rows; row = named.nextClearBit(row + 1)) {
-            if (at(row).status[next][row & MASK] != ABSENT) {
-                set(row, next, ABSENT);
+        int next = 1 - currentView;
+        implicitRemovalsFrom = changedRows.size();
+        for (int row = namedRows.nextClearBit(0); whole && row < rows; row = namedRows.nextClearBit(row + 1)) {
+            if (chunkOf(row).status[next][row & CHUNK_MASK] != ABSENT) {
+                setStatus(row, next, ABSENT);
                 stagedSize--;
-                touched.add(row);
+                changedRows.add(row);
             }
         }
-        for (int i = 0; i < amended.size(); i++) {
-            Chunk chunk = at(amended.get(i));
-            chunk.address[amended.get(i) & MASK] = amendments[2 * i];
-            chunk.weight[amended.get(i) & MASK] = Double.longBitsToDouble(amendments[2 * i + 1]);
+        for (int i = 0; i < amendedRows.size(); i++) {
+            Chunk chunk = chunkOf(amendedRows.get(i));
+            chunk.address[amendedRows.get(i) & CHUNK_MASK] = amendments[2 * i];
+            chunk.weight[amendedRows.get(i) & CHUNK_MASK] = Double.longBitsToDouble(amendments[2 * i + 1]);
         }
-        amended.clear();
+        amendedRows.clear();
         staging = false;
-        current = next;
+        currentView = next;
         size = stagedSize;
         index = version;
     }
 
     /** How many rows the last list named or took out; they can be read until they are settled. */
-    public int touched() {
-        return touched.size();
+    public int changedRows() {
+        return changedRows.size();
     }
 
     /** One of them, in the list's order. */
-    public int touched(int i) {
-        return touched.get(i);
+    public int changedRows(int i) {
+        return changedRows.get(i);
     }
 
     /** From where on they are those that the last list, a whole one, took out by not naming them. */
-    public int leftFrom() {
-        return leftFrom;
+    public int implicitRemovalsFrom() {
+        return implicitRemovalsFrom;
     }
 
     /**
      * Gives room back that the last list has left: so many rows at most. True: all is done. {@link #begin} does what is left, of a
      * list that was given up too: what is staged has room until then.
      */
-    public boolean settle(int most) {
+    public boolean reclaim(int most) {
         if (staging) {
             // Guards drains: its pieces come with other work of the loop between them.
             return true;
         }
-        int until = (int) Math.min(touched.size(), (long) settled + most);
-        for (; settled < until; settled++) {
-            int row = touched.get(settled);
-            Chunk chunk = at(row);
-            int place = row & MASK;
-            if (chunk.linked[place] && chunk.status[current][place] == ABSENT) {
-                release(row);
+        int until = (int) Math.min(changedRows.size(), (long) reclaimedCount + most);
+        for (; reclaimedCount < until; reclaimedCount++) {
+            int row = changedRows.get(reclaimedCount);
+            Chunk chunk = chunkOf(row);
+            int place = row & CHUNK_MASK;
+            if (chunk.linked[place] && chunk.status[currentView][place] == ABSENT) {
+                freeRow(row);
             }
-            chunk.status[1 - current][place] = chunk.status[current][place];
+            chunk.status[1 - currentView][place] = chunk.status[currentView][place];
         }
-        return settled == touched.size();
+        return reclaimedCount == changedRows.size();
     }
 
     // ---- Reading what is in force ----
 
     /** The row in force of this name, or NONE. */
     public int find(String name) {
-        return find(name.getBytes(StandardCharsets.UTF_8), current);
+        return find(name.getBytes(StandardCharsets.UTF_8), currentView);
     }
 
     /** The rows in force of a destination, by their numbers. */
@@ -357,18 +357,18 @@
     }
 
     /** The rows of a destination that the last list named or took out, by their numbers; until they are settled. */
-    public int[] touchedOf(int group) {
-        return rowsOf(group, row -> status(row) == ABSENT ? at(row).status[1 - current][row & MASK] != ABSENT : named.get(row));
+    public int[] changedRowsOf(int group) {
+        return rowsOf(group, row -> status(row) == ABSENT ? chunkOf(row).status[1 - currentView][row & CHUNK_MASK] != ABSENT : namedRows.get(row));
     }
 
     private int[] rowsOf(int group, IntPredicate which) {
-        Numbers found = new Numbers();
-        for (int row = byGroup.first(group); row != NONE; row = at(row).nextByGroup[row & MASK]) {
-            if (at(row).group[row & MASK] == group && which.test(row)) {
+        IntList found = new IntList();
+        for (int row = byGroup.first(group); row != NONE; row = chunkOf(row).nextByGroup[row & CHUNK_MASK]) {
+            if (chunkOf(row).group[row & CHUNK_MASK] == group && which.test(row)) {
                 found.add(row);
             }
         }
-        int[] sorted = Arrays.copyOf(found.numbers, found.count);
+        int[] sorted = Arrays.copyOf(found.values, found.count);
         Arrays.sort(sorted);
         return sorted;
     }
@@ -380,81 +380,81 @@
 
     /** What holds for the row: ABSENT, SERVING, DRAINING. */
     public byte status(int row) {
-        return at(row).status[current][row & MASK];
+        return chunkOf(row).status[currentView][row & CHUNK_MASK];
     }
 
     public int group(int row) {
-        return at(row).group[row & MASK];
+        return chunkOf(row).group[row & CHUNK_MASK];
     }
 
     public String name(int row) {
-        Chunk chunk = at(row);
-        int place = row & MASK;
-        return new String(chunk.text, chunk.textAt[place], chunk.nameLength[place], StandardCharsets.UTF_8);
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
+        return new String(chunk.text, chunk.textOffset[place], chunk.nameLength[place], StandardCharsets.UTF_8);
     }
 
     /** The row as discovery words it; out of the list: DELETED. */
-    public ListLine.Entry entry(int row) {
-        Chunk chunk = at(row);
-        int place = row & MASK;
+    public ListUpdate.Entry entry(int row) {
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
         String status = switch (status(row)) {
             case SERVING -> "SERVING";
             case DRAINING -> "DRAINING";
             default -> "DELETED";
         };
-        return new ListLine.Entry(name(row), address(row), words.get(chunk.zone[place]), words.get(chunk.type[place]),
+        return new ListUpdate.Entry(name(row), address(row), zonesAndTypes.get(chunk.zone[place]), zonesAndTypes.get(chunk.type[place]),
                 chunk.group[place], status, chunk.weight[place]);
     }
 
     // ---- Rows ----
 
-    private Chunk at(int row) {
-        return chunks.get(row >> SHIFT);
+    private Chunk chunkOf(int row) {
+        return chunks.get(row >> CHUNK_SHIFT);
     }
 
-    private void set(int row, int view, byte status) {
-        at(row).status[view][row & MASK] = status;
+    private void setStatus(int row, int view, byte status) {
+        chunkOf(row).status[view][row & CHUNK_MASK] = status;
     }
 
     /** Whether the row can stand for the entry: all but status, packed address and weight is as it was. */
-    private boolean remains(int row, ListLine.Entry entry, long address) {
-        Chunk chunk = at(row);
-        int place = row & MASK;
-        return chunk.group[place] == entry.group() && words.get(chunk.zone[place]).equals(entry.zone())
-                && words.get(chunk.type[place]).equals(entry.type())
+    private boolean canRepresent(int row, ListUpdate.Entry entry, long address) {
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
+        return chunk.group[place] == entry.group() && zonesAndTypes.get(chunk.zone[place]).equals(entry.zone())
+                && zonesAndTypes.get(chunk.type[place]).equals(entry.type())
                 && (address >= 0 && chunk.address[place] >= 0 || address(row).equals(entry.address()));
     }
 
-    private boolean amend(int row, long address, double weight) {
-        Chunk chunk = at(row);
-        int place = row & MASK;
+    private boolean stageAmendment(int row, long address, double weight) {
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
         long packed = chunk.address[place] >= 0 ? address : chunk.address[place];
         boolean differs = chunk.address[place] != packed || chunk.weight[place] != weight;
         // Named before by this list: what it said then no longer counts.
-        if (differs || named.get(row) && amended.size() > 0) {
-            if (2 * amended.size() == amendments.length) {
+        if (differs || namedRows.get(row) && amendedRows.size() > 0) {
+            if (2 * amendedRows.size() == amendments.length) {
                 amendments = Arrays.copyOf(amendments, Math.max(16, 3 * amendments.length));
             }
-            amendments[2 * amended.size()] = packed;
-            amendments[2 * amended.size() + 1] = Double.doubleToRawLongBits(weight);
-            amended.add(row);
+            amendments[2 * amendedRows.size()] = packed;
+            amendments[2 * amendedRows.size() + 1] = Double.doubleToRawLongBits(weight);
+            amendedRows.add(row);
         }
         return differs;
     }
 
     private String address(int row) {
-        Chunk chunk = at(row);
-        int place = row & MASK;
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
         long packed = chunk.address[place];
-        return packed >= 0 ? unpack(packed)
-                : new String(chunk.text, chunk.textAt[place] + chunk.nameLength[place], (int) (-packed - 1), StandardCharsets.UTF_8);
+        return packed >= 0 ? unpackAddress(packed)
+                : new String(chunk.text, chunk.textOffset[place] + chunk.nameLength[place], (int) (-packed - 1), StandardCharsets.UTF_8);
     }
 
     private int find(byte[] name, int view) {
-        for (int row = byName.first(hash(name, 0, name.length)); row != NONE; row = at(row).nextByName[row & MASK]) {
-            Chunk chunk = at(row);
-            int place = row & MASK;
-            int from = chunk.textAt[place];
+        for (int row = byName.first(hash(name, 0, name.length)); row != NONE; row = chunkOf(row).nextByName[row & CHUNK_MASK]) {
+            Chunk chunk = chunkOf(row);
+            int place = row & CHUNK_MASK;
+            int from = chunk.textOffset[place];
             if (chunk.status[view][place] != ABSENT
                     && Arrays.equals(chunk.text, from, from + chunk.nameLength[place], name, 0, name.length)) {
                 return row;
@@ -463,22 +463,22 @@
         return NONE;
     }
 
-    private int add(byte[] name, ListLine.Entry entry, long packed) throws TooLarge {
+    private int addRow(byte[] name, ListUpdate.Entry entry, long packed) throws TooLarge {
         byte[] address = packed >= 0 ? new byte[0] : entry.address().getBytes(StandardCharsets.UTF_8);
         if (name.length > Short.MAX_VALUE) {
             throw new TooLarge("an endpoint's name of " + name.length + " bytes");
         }
-        if (bytes() + ROW_BYTES + name.length + address.length > limit) {
+        if (bytes() + ROW_BYTES + name.length + address.length > maxBytes) {
             throw tooLarge("a list of more than " + stagedSize + " endpoints");
         }
-        short zone = number(entry.zone()), type = number(entry.type());
-        int row = free.size() == 0 ? rows++ : free.removeLast();
-        if (row >> SHIFT == chunks.size()) {
+        short zone = numberOf(entry.zone()), type = numberOf(entry.type());
+        int row = freeRows.size() == 0 ? rows++ : freeRows.removeLast();
+        if (row >> CHUNK_SHIFT == chunks.size()) {
             chunks.add(new Chunk());
         }
-        Chunk chunk = at(row);
-        int place = row & MASK;
-        chunk.textAt[place] = chunk.write(name, address);
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
+        chunk.textOffset[place] = chunk.appendText(name, address);
         chunk.nameLength[place] = (short) name.length;
         chunk.address[place] = packed >= 0 ? packed : -1 - address.length;
         textBytes += name.length + address.length;
@@ -492,31 +492,31 @@
         return row;
     }
 
-    private void release(int row) {
-        Chunk chunk = at(row);
-        int place = row & MASK;
+    private void freeRow(int row) {
+        Chunk chunk = chunkOf(row);
+        int place = row & CHUNK_MASK;
         int length = chunk.textLength(place);
         byName.unlink(row);
         byGroup.unlink(row);
         chunk.linked[place] = false;
-        chunk.erase(place);
+        chunk.eraseText(place);
         textBytes -= length;
-        free.add(row);
+        freeRows.add(row);
     }
 
     private TooLarge tooLarge(String what) {
-        return new TooLarge(what + " needs more than the " + limit + " bytes that a list may take here (" + limitFrom + ")");
+        return new TooLarge(what + " needs more than the " + maxBytes + " bytes that a list may take here (" + limitSource + ")");
     }
 
-    private short number(String word) throws TooLarge {
-        Integer known = numbers.get(word);
+    private short numberOf(String word) throws TooLarge {
+        Integer known = zoneAndTypeNumbers.get(word);
         if (known == null) {
-            if (words.size() >= WORDS) {
-                throw new TooLarge("a list of more than " + WORDS + " different zones and types");
+            if (zonesAndTypes.size() >= MAX_ZONES_AND_TYPES) {
+                throw new TooLarge("a list of more than " + MAX_ZONES_AND_TYPES + " different zones and types");
             }
-            known = words.size();
-            words.add(word);
-            numbers.put(word, known);
+            known = zonesAndTypes.size();
+            zonesAndTypes.add(word);
+            zoneAndTypeNumbers.put(word, known);
         }
         return known.shortValue();
     }
@@ -535,9 +535,9 @@
      * Rows by a key of theirs: buckets that hold a first row, and from there chains through the rows. Chains that stand in
      * the rows anyway make it half as large as a map of keys to rows.
      */
-    private abstract class Index {
-        private final int[][] first = new int[PARTS][];
-        private final int[] linked = new int[PARTS];
+    private abstract class RowIndex {
+        private final int[][] first = new int[INDEX_PARTS][];
+        private final int[] linkedRows = new int[INDEX_PARTS];
 
         abstract int key(Chunk chunk, int place);
 
@@ -545,50 +545,50 @@
 
         /** The first row of the key's bucket; others may stand there too. */
         final int first(int key) {
-            int hash = mixed(key);
-            int[] buckets = first[hash & PARTS - 1];
+            int hash = mix(key);
+            int[] buckets = first[hash & INDEX_PARTS - 1];
             return buckets == null ? NONE : buckets[hash >>> 6 & buckets.length - 1];
         }
 
         final void link(int row) {
             int hash = hashOf(row);
-            int part = hash & PARTS - 1;
-            if (first[part] == null || linked[part] == first[part].length) {
+            int part = hash & INDEX_PARTS - 1;
+            if (first[part] == null || linkedRows[part] == first[part].length) {
                 grow(part);
             }
-            linked[part]++;
-            put(first[part], row);
+            linkedRows[part]++;
+            insert(first[part], row);
         }
 
         final void unlink(int row) {
             int hash = hashOf(row);
-            int[] buckets = first[hash & PARTS - 1];
+            int[] buckets = first[hash & INDEX_PARTS - 1];
             int bucket = hash >>> 6 & buckets.length - 1;
-            int after = next(at(row))[row & MASK];
-            linked[hash & PARTS - 1]--;
+            int after = next(chunkOf(row))[row & CHUNK_MASK];
+            linkedRows[hash & INDEX_PARTS - 1]--;
             if (buckets[bucket] == row) {
                 buckets[bucket] = after;
                 return;
             }
             int before = buckets[bucket];
-            while (next(at(before))[before & MASK] != row) {
-                before = next(at(before))[before & MASK];
+            while (next(chunkOf(before))[before & CHUNK_MASK] != row) {
+                before = next(chunkOf(before))[before & CHUNK_MASK];
             }
-            next(at(before))[before & MASK] = after;
+            next(chunkOf(before))[before & CHUNK_MASK] = after;
         }
 
         private int hashOf(int row) {
-            return mixed(key(at(row), row & MASK));
+            return mix(key(chunkOf(row), row & CHUNK_MASK));
         }
 
-        private int mixed(int key) {
+        private int mix(int key) {
             int hash = key * 0x9E3779B9;
             return hash ^ hash >>> 15;
         }
 
-        private void put(int[] buckets, int row) {
+        private void insert(int[] buckets, int row) {
             int bucket = hashOf(row) >>> 6 & buckets.length - 1;
-            next(at(row))[row & MASK] = buckets[bucket];
+            next(chunkOf(row))[row & CHUNK_MASK] = buckets[bucket];
             buckets[bucket] = row;
         }
 
@@ -598,8 +598,8 @@
             Arrays.fill(buckets, NONE);
             for (int i = 0; before != null && i < before.length; i++) {
                 for (int row = before[i]; row != NONE;) {
-                    int after = next(at(row))[row & MASK];
-                    put(buckets, row);
+                    int after = next(chunkOf(row))[row & CHUNK_MASK];
+                    insert(buckets, row);
                     row = after;
                 }
             }
@@ -608,8 +608,8 @@
     }
 
     /** Numbers in a row. */
-    private static final class Numbers {
-        int[] numbers = new int[0];
+    private static final class IntList {
+        int[] values = new int[0];
         int count;
 
         int size() {
@@ -617,30 +617,30 @@
         }
 
         int get(int i) {
-            return numbers[i];
+            return values[i];
         }
 
         void add(int number) {
-            if (count == numbers.length) {
-                numbers = Arrays.copyOf(numbers, Math.max(16, count + count / 2));
+            if (count == values.length) {
+                values = Arrays.copyOf(values, Math.max(16, count + count / 2));
             }
-            numbers[count++] = number;
+            values[count++] = number;
         }
 
         int removeLast() {
-            return numbers[--count];
+            return values[--count];
         }
 
         /** Room for many is given back. */
         void clear() {
             count = 0;
-            numbers = numbers.length > CHUNK ? new int[0] : numbers;
+            values = values.length > CHUNK_ROWS ? new int[0] : values;
         }
     }
 
     // ---- Addresses: four numbers below 256 and a port, written as usual, take no text ----
 
-    private static long pack(String address) {
+    private static long packAddress(String address) {
         long packed = 0;
         int number = -1;
         int dots = 0;
@@ -661,7 +661,7 @@
         return port && number >= 0 && number < 65_536 ? packed << 16 | number : -1;
     }
 
-    private static String unpack(long packed) {
+    private static String unpackAddress(long packed) {
         return (packed >> 40 & 255) + "." + (packed >> 32 & 255) + "." + (packed >> 24 & 255) + "." + (packed >> 16 & 255)
                 + ":" + (packed & 65_535);
     }
--- a/node/src/main/java/wrenreach/endpoints/ListLog.java
+++ b/node/src/main/java/wrenreach/endpoints/ListLog.java
@@ -29,101 +29,101 @@
  */
 public final class ListLog implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(ListLog.class.getName());
-    static final String NAME = "list.log", NEXT = "list.log.next", FORM_1 = "list";
-    private static final String HEAD = "wrenreach list 2\n";
+    static final String FILE_NAME = "list.log", NEXT_FILE_NAME = "list.log.next", FORM_1_FILE_NAME = "list";
+    private static final String HEADER = "wrenreach list 2\n";
     /** One part in so many of the folder's room, for the file and for the one that takes its place. */
-    private static final int PART = 50;
+    private static final int SIZE_LIMIT_DIVISOR = 50;
     /** Rows of a snapshot written at once, about a millisecond's work; bytes gathered before they are written. */
-    static final int SLICE = 1000, GATHERED = 1 << 14;
+    static final int SLICE_ROWS = 1000, BUFFER_BYTES = 1 << 14;
     /** A file shorter than this is not worth a new snapshot. */
-    private static final int SMALL = 1 << 12;
+    private static final int MIN_REWRITE_BYTES = 1 << 12;
     private static final List<String> STATUSES = List.of("SERVING", "DRAINING", "DELETED");
 
     /** The version that is kept, and the address of the discovery that it is one of. */
-    public record Kept(long index, String from) { }
+    public record StoredVersion(long index, String discoveryAddress) { }
 
     private final Path folder;
     private final Path file;
-    private final Path next;
-    private final long most;
+    private final Path nextFile;
+    private final long maxBytes;
     /** What goes to the file: null: it holds nothing that changes could be added to. */
-    private Writer log;
+    private LogWriter logWriter;
     /** A snapshot under way, and its next row. */
-    private Writer snapshot;
-    private int row;
+    private LogWriter snapshotWriter;
+    private int snapshotRow;
     /** Rows that it has passed and that have changed since. */
-    private final BitSet stale = new BitSet();
+    private final BitSet staleRows = new BitSet();
     /** It has all rows, as far as they are in force. */
-    private boolean passed;
+    private boolean snapshotComplete;
     /** A list is on its way. */
-    private boolean listing;
+    private boolean listInProgress;
     /** Bytes of the last snapshot. */
-    private long based;
-    private Kept kept;
-    private long sound;
-    private boolean told;
+    private long snapshotBytes;
+    private StoredVersion storedVersion;
+    private long validBytes;
+    private boolean warningLogged;
 
     /** limit: bytes that the folder may hold. */
     public ListLog(Path folder, long limit) {
         this.folder = folder;
-        file = folder.resolve(NAME);
-        next = folder.resolve(NEXT);
-        most = limit / PART;
+        file = folder.resolve(FILE_NAME);
+        nextFile = folder.resolve(NEXT_FILE_NAME);
+        maxBytes = limit / SIZE_LIMIT_DIVISOR;
     }
 
     /** What of the folder's room it may take. */
-    public static long room(long limit) {
-        return 2 * (limit / PART);
+    public static long sizeLimit(long limit) {
+        return 2 * (limit / SIZE_LIMIT_DIVISOR);
     }
 
     // ---- Reading, at the start ----
 
     /** What is kept, or null; IOException says what is wrong with it. */
-    public Kept look() throws IOException {
-        kept = null;
-        sound = 0;
+    public StoredVersion inspect() throws IOException {
+        storedVersion = null;
+        validBytes = 0;
         try (InputStream in = open(file)) {
             if (in == null) {
-                return lookAtForm1();
+                return inspectForm1();
             }
-            lines(in, Long.MAX_VALUE, null);
+            readLines(in, Long.MAX_VALUE, null);
         }
-        if (kept == null) {
-            throw new IOException("no sound list in " + NAME);
+        if (storedVersion == null) {
+            throw new IOException("no sound list in " + FILE_NAME);
         }
-        return kept;
+        return storedVersion;
     }
 
     /** Tells what {@link #look} has found, list by list. */
-    public void tell(ListSink sink) throws IOException {
-        if (sound > 0) {
+    public void replayTo(ListSink sink) throws IOException {
+        if (validBytes > 0) {
             try (InputStream in = open(file)) {
-                lines(in, sound, sink);
+                readLines(in, validBytes, sink);
             }
-            log = new Writer(file, sound);
-            based = sound;
+            logWriter = new LogWriter(file, validBytes);
+            snapshotBytes = validBytes;
         } else {
-            form1(sink);
+            readForm1(sink);
         }
     }
 
     private static InputStream open(Path path) throws IOException {
         try {
-            return new BufferedInputStream(Files.newInputStream(path), GATHERED);
+            return new BufferedInputStream(Files.newInputStream(path), BUFFER_BYTES);
         } catch (NoSuchFileException e) {
             return null;
         }
     }
 
     /** Reads up to there; without a sink it only looks for the last sound commit. */
-    private void lines(InputStream in, long until, ListSink sink) throws IOException {
-        String head = new String(in.readNBytes(HEAD.length()), StandardCharsets.UTF_8);
-        if (!head.equals(HEAD)) {
-            throw new IOException("it does not begin with \"" + HEAD.strip() + "\"");
+    private void readLines(InputStream in, long until, ListSink sink) throws IOException {
+        String head = new String(in.readNBytes(HEADER.length()), StandardCharsets.UTF_8);
+        if (!head.equals(HEADER)) {
+            throw new IOException("it does not begin with \"" + HEADER.strip() + "\"");
         }
         CRC32 crc = new CRC32();
         byte[] buffer = new byte[1 << 16];
-        long before = HEAD.length();
+        long before = HEADER.length();
         boolean begun = false;
         boolean whole = true;
         int have = 0;
@@ -140,18 +140,18 @@
                         return;
                     }
                     crc.reset();
-                    sound = sink == null ? before + i + 1 : sound;
-                    kept = new Kept(Long.parseLong(words[1]), unescaped(words[2]));
+                    validBytes = sink == null ? before + i + 1 : validBytes;
+                    storedVersion = new StoredVersion(Long.parseLong(words[1]), unescape(words[2]));
                     if (sink != null) {
                         begin(sink, begun);
-                        sink.end(kept.index, whole);
+                        sink.end(storedVersion.index, whole);
                         begun = whole = false;
                     }
                 } else {
                     crc.update(buffer, from, i + 1 - from);
                     if (sink != null) {
                         begun = begin(sink, begun);
-                        sink.entry(entry(new String(buffer, from, i - from, StandardCharsets.UTF_8)));
+                        sink.entry(parseEntry(new String(buffer, from, i - from, StandardCharsets.UTF_8)));
                     }
                 }
                 from = i + 1;
@@ -170,10 +170,10 @@
         return true;
     }
 
-    private static ListLine.Entry entry(String line) throws IOException {
+    private static ListUpdate.Entry parseEntry(String line) throws IOException {
         String[] words = line.split("\t", -1);
         try {
-            return new ListLine.Entry(unescaped(words[1]), unescaped(words[2]), unescaped(words[3]), unescaped(words[4]),
+            return new ListUpdate.Entry(unescape(words[1]), unescape(words[2]), unescape(words[3]), unescape(words[4]),
                     Integer.parseInt(words[5]), STATUSES.get(Integer.parseInt(words[0])), Double.parseDouble(words[6]));
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             throw new IOException("a line that is no endpoint", e);
@@ -182,25 +182,25 @@
 
     // ---- The form before ----
 
-    private Kept lookAtForm1() throws IOException {
-        kept = form1(new ListReader.Collected(list -> { }));
-        return kept;
+    private StoredVersion inspectForm1() throws IOException {
+        storedVersion = readForm1(new ListReader.CollectingSink(list -> { }));
+        return storedVersion;
     }
 
-    private Kept form1(ListSink sink) throws IOException {
-        Path before = folder.resolve(FORM_1);
+    private StoredVersion readForm1(ListSink sink) throws IOException {
+        Path before = folder.resolve(FORM_1_FILE_NAME);
         try (InputStream in = open(before)) {
             if (in == null) {
                 return null;
             }
-            if (Files.size(before) > most) {
-                throw new IOException(FORM_1 + " is longer than any that was written");
+            if (Files.size(before) > maxBytes) {
+                throw new IOException(FORM_1_FILE_NAME + " is longer than any that was written");
             }
-            return form1(in, sink);
+            return readForm1(in, sink);
         }
     }
 
-    private static Kept form1(InputStream text, ListSink sink) throws IOException {
+    private static StoredVersion readForm1(InputStream text, ListSink sink) throws IOException {
         int form = 0;
         String from = null;
         long[] index = {-1};
@@ -214,7 +214,7 @@
                 switch (field) {
                     case "form" -> form = in.getIntValue();
                     case "from" -> from = in.getText();
-                    case "list" -> ListReader.read(in, new Passing(sink) {
+                    case "list" -> ListReader.read(in, new ForwardingListSink(sink) {
                         @Override public void end(long version, boolean whole) throws IOException {
                             index[0] = version;
                             super.end(version, whole);
@@ -227,110 +227,110 @@
         if (form != 1 || from == null || index[0] < 0) {
             throw new IOException("not of form 1 or 2");
         }
-        return new Kept(index[0], from);
+        return new StoredVersion(index[0], from);
     }
 
     // ---- Writing ----
 
     /** A list begins: what was noted of one that has not ended is given up. */
     public void begin() {
-        listing = true;
-        if (log != null) {
-            attempt(() -> log.back());
+        listInProgress = true;
+        if (logWriter != null) {
+            tryWrite(() -> logWriter.rollBack());
         }
     }
 
     /** An entry of it that differs from what was kept. */
-    public void note(ListLine.Entry entry) {
-        if (log != null) {
-            attempt(() -> log.entry(entry));
+    public void stageEntry(ListUpdate.Entry entry) {
+        if (logWriter != null) {
+            tryWrite(() -> logWriter.writeEntry(entry));
         }
     }
 
     /** It holds from now on; a short list that is not kept yet, or has become long, is written anew at once. */
     public void commit(long index, String from, EndpointTable table) {
-        listing = false;
-        kept = new Kept(index, from);
-        if (log != null) {
-            attempt(() -> log.commit(kept));
+        listInProgress = false;
+        storedVersion = new StoredVersion(index, from);
+        if (logWriter != null) {
+            tryWrite(() -> logWriter.commit(storedVersion));
         }
-        if (snapshot != null) {
+        if (snapshotWriter != null) {
             // What it has passed may have changed since: of an endpoint that stands there twice the later line counts. Not begun
             // anew: guards against lists that change more often than one can be written.
-            attempt(() -> {
-                for (int i = 0; i < table.touched(); i++) {
-                    int touched = table.touched(i);
-                    if (touched < row && table.status(touched) == EndpointTable.ABSENT) {
+            tryWrite(() -> {
+                for (int i = 0; i < table.changedRows(); i++) {
+                    int touched = table.changedRows(i);
+                    if (touched < snapshotRow && table.status(touched) == EndpointTable.ABSENT) {
                         // Its place may be another's by the time that what is stale is written.
-                        snapshot.entry(table.entry(touched));
-                        stale.clear(touched);
-                    } else if (touched < row) {
-                        stale.set(touched);
+                        snapshotWriter.writeEntry(table.entry(touched));
+                        staleRows.clear(touched);
+                    } else if (touched < snapshotRow) {
+                        staleRows.set(touched);
                     }
                 }
             });
-        } else if (log == null || log.size > Math.max(SMALL, 2 * based)) {
-            attempt(() -> {
-                snapshot = new Writer(next, 0);
-                row = 0;
-                passed = false;
-                stale.clear();
+        } else if (logWriter == null || logWriter.size > Math.max(MIN_REWRITE_BYTES, 2 * snapshotBytes)) {
+            tryWrite(() -> {
+                snapshotWriter = new LogWriter(nextFile, 0);
+                snapshotRow = 0;
+                snapshotComplete = false;
+                staleRows.clear();
             });
         }
-        slice(table);
+        writeSnapshotSlice(table);
     }
 
     /** Whether {@link #slice} has something to do; a snapshot that is ready waits for the end of a list that is on its way. */
-    public boolean slices() {
-        return snapshot != null && !(listing && passed);
+    public boolean hasSnapshotWork() {
+        return snapshotWriter != null && !(listInProgress && snapshotComplete);
     }
 
     /** The next slice of a new snapshot. It takes the file's place not while a list is on its way: what was noted of that is there. */
-    public void slice(EndpointTable table) {
-        if (snapshot == null) {
+    public void writeSnapshotSlice(EndpointTable table) {
+        if (snapshotWriter == null) {
             return;
         }
-        attempt(() -> {
-            int from = row;
-            int until = Math.min(table.rows(), row + SLICE);
-            for (; row < until; row++) {
-                if (table.status(row) != EndpointTable.ABSENT) {
-                    snapshot.entry(table.entry(row));
+        tryWrite(() -> {
+            int from = snapshotRow;
+            int until = Math.min(table.rows(), snapshotRow + SLICE_ROWS);
+            for (; snapshotRow < until; snapshotRow++) {
+                if (table.status(snapshotRow) != EndpointTable.ABSENT) {
+                    snapshotWriter.writeEntry(table.entry(snapshotRow));
                 }
             }
-            for (int left = until - from; left < SLICE && !stale.isEmpty(); left++) {
-                int again = stale.nextSetBit(0);
-                stale.clear(again);
-                snapshot.entry(table.entry(again));
+            for (int left = until - from; left < SLICE_ROWS && !staleRows.isEmpty(); left++) {
+                int again = staleRows.nextSetBit(0);
+                staleRows.clear(again);
+                snapshotWriter.writeEntry(table.entry(again));
             }
-            passed = row >= table.rows() && stale.isEmpty();
-            if (passed && !listing) {
-                snapshot.commit(kept);
-                Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-                Files.deleteIfExists(folder.resolve(FORM_1));
-                drop(log);
-                log = snapshot;
-                snapshot = null;
-                based = log.size;
+            snapshotComplete = snapshotRow >= table.rows() && staleRows.isEmpty();
+            if (snapshotComplete && !listInProgress) {
+                snapshotWriter.commit(storedVersion);
+                Files.move(nextFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                Files.deleteIfExists(folder.resolve(FORM_1_FILE_NAME));
+                closeWriter(logWriter);
+                logWriter = snapshotWriter;
+                snapshotWriter = null;
+                snapshotBytes = logWriter.size;
             }
         });
     }
 
-    private interface Attempt {
-        void make() throws IOException;
+    private interface WriteOperation {
+        void run() throws IOException;
     }
 
     /** Where it can't be kept nothing stays that is older, and the node goes on without. */
-    private void attempt(Attempt attempt) {
+    private void tryWrite(WriteOperation attempt) {
         try {
-            attempt.make();
+            attempt.run();
         } catch (IOException e) {
-            if (!told) {
-                told = true;
-                LogEvent.tell(LOG, Level.WARNING, "list.kept", "the list can't be kept for the next start: {why}", "why",
+            if (!warningLogged) {
+                warningLogged = true;
+                LogEvent.log(LOG, Level.WARNING, "list.kept", "the list can't be kept for the next start: {why}", "why",
                         e.getMessage());
             }
-            remove();
+            deleteFiles();
         }
     }
 
@@ -338,19 +338,19 @@
      * Leaves its room to what is owed, where that finds none; false: it had none. The next list that is told is kept anew, as
      * far as there is room again.
      */
-    public boolean giveUp() {
-        boolean removed = remove();
-        if (removed && !told) {
-            told = true;
-            LogEvent.tell(LOG, Level.WARNING, "list.kept", "the list kept for the next start leaves its room to what is owed");
+    public boolean discard() {
+        boolean removed = deleteFiles();
+        if (removed && !warningLogged) {
+            warningLogged = true;
+            LogEvent.log(LOG, Level.WARNING, "list.kept", "the list kept for the next start leaves its room to what is owed");
         }
         return removed;
     }
 
-    private boolean remove() {
+    private boolean deleteFiles() {
         close();
         try {
-            return Files.deleteIfExists(next) | Files.deleteIfExists(file) | Files.deleteIfExists(folder.resolve(FORM_1));
+            return Files.deleteIfExists(nextFile) | Files.deleteIfExists(file) | Files.deleteIfExists(folder.resolve(FORM_1_FILE_NAME));
         } catch (IOException e) {
             // The next start takes what is newer of this and its config's list.
             return false;
@@ -358,95 +358,95 @@
     }
 
     @Override public void close() {
-        drop(log);
-        drop(snapshot);
-        log = snapshot = null;
+        closeWriter(logWriter);
+        closeWriter(snapshotWriter);
+        logWriter = snapshotWriter = null;
     }
 
-    private static void drop(Writer writer) {
+    private static void closeWriter(LogWriter writer) {
         if (writer != null) {
             try {
                 writer.channel.close();
             } catch (IOException e) {
-                LogEvent.tell(LOG, Level.DEBUG, "list.closed", "{file}: {why}", "file", NAME, "why", e.getMessage());
+                LogEvent.log(LOG, Level.DEBUG, "list.closed", "{file}: {why}", "file", FILE_NAME, "why", e.getMessage());
             }
         }
     }
 
     /** A file that grows line by line; what follows its last commit does not count yet. */
-    private final class Writer {
+    private final class LogWriter {
         private final FileChannel channel;
-        private final ByteArrayOutputStream gathered = new ByteArrayOutputStream(256);
+        private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(256);
         private final CRC32 crc = new CRC32();
-        private long written;
-        private long committed;
+        private long writtenBytes;
+        private long committedBytes;
         /** Bytes, those gathered counted. */
         private long size;
 
-        Writer(Path path, long from) throws IOException {
+        LogWriter(Path path, long from) throws IOException {
             channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             channel.truncate(from);
-            written = committed = size = from;
+            writtenBytes = committedBytes = size = from;
             if (from == 0) {
-                append(HEAD);
+                append(HEADER);
             }
         }
 
-        void entry(ListLine.Entry entry) throws IOException {
-            String line = STATUSES.indexOf(entry.status()) + "\t" + escaped(entry.name()) + "\t" + escaped(entry.address()) + "\t"
-                    + escaped(entry.zone()) + "\t" + escaped(entry.type()) + "\t" + entry.group() + "\t" + entry.weight() + "\n";
+        void writeEntry(ListUpdate.Entry entry) throws IOException {
+            String line = STATUSES.indexOf(entry.status()) + "\t" + escape(entry.name()) + "\t" + escape(entry.address()) + "\t"
+                    + escape(entry.zone()) + "\t" + escape(entry.type()) + "\t" + entry.group() + "\t" + entry.weight() + "\n";
             byte[] bytes = append(line);
             crc.update(bytes, 0, bytes.length);
-            if (gathered.size() >= GATHERED) {
-                write();
+            if (buffer.size() >= BUFFER_BYTES) {
+                flush();
             }
         }
 
-        void commit(Kept now) throws IOException {
-            append("C\t" + now.index + "\t" + escaped(now.from) + "\t" + Long.toHexString(crc.getValue()) + "\n");
-            write();
+        void commit(StoredVersion now) throws IOException {
+            append("C\t" + now.index + "\t" + escape(now.discoveryAddress) + "\t" + Long.toHexString(crc.getValue()) + "\n");
+            flush();
             crc.reset();
-            committed = written;
+            committedBytes = writtenBytes;
         }
 
         /** Back to the last commit. */
-        void back() throws IOException {
-            gathered.reset();
+        void rollBack() throws IOException {
+            buffer.reset();
             crc.reset();
-            if (written > committed) {
-                channel.truncate(committed);
-                written = committed;
+            if (writtenBytes > committedBytes) {
+                channel.truncate(committedBytes);
+                writtenBytes = committedBytes;
             }
-            size = committed;
+            size = committedBytes;
         }
 
         private byte[] append(String line) throws IOException {
             byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
-            gathered.write(bytes, 0, bytes.length);
+            buffer.write(bytes, 0, bytes.length);
             size += bytes.length;
-            if (size > most) {
-                throw new IOException("it takes more than the " + most + " bytes that it may (a fiftieth of the folder's room)");
+            if (size > maxBytes) {
+                throw new IOException("it takes more than the " + maxBytes + " bytes that it may (a fiftieth of the folder's room)");
             }
             return bytes;
         }
 
-        private void write() throws IOException {
-            ByteBuffer bytes = ByteBuffer.wrap(gathered.toByteArray());
+        private void flush() throws IOException {
+            ByteBuffer bytes = ByteBuffer.wrap(buffer.toByteArray());
             while (bytes.hasRemaining()) {
-                written += channel.write(bytes, written);
+                writtenBytes += channel.write(bytes, writtenBytes);
             }
-            gathered.reset();
+            buffer.reset();
         }
     }
 
-    private static String escaped(String text) {
+    private static String escape(String text) {
         if (text.indexOf('\\') < 0 && text.indexOf('\t') < 0 && text.indexOf('\n') < 0) {
             return text;
         }
         return text.replace("\\", "\\\\").replace("\t", "\\t").replace("\n", "\\n");
     }
 
-    private static String unescaped(String text) {
+    private static String unescape(String text) {
         if (text.indexOf('\\') < 0) {
             return text;
         }
--- a/node/src/main/java/wrenreach/endpoints/ListReader.java
+++ b/node/src/main/java/wrenreach/endpoints/ListReader.java
@@ -17,15 +17,15 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final List<String> STATUSES = List.of("SERVING", "DRAINING", "DELETED");
 
-    private enum At { BEFORE, LIST, ENDPOINTS, ENDPOINT, OVER }
+    private enum State { START, LIST, ENDPOINTS, ENDPOINT, DONE }
 
     private final ListSink sink;
-    private final JsonParser in;
-    private At at = At.BEFORE;
+    private final JsonParser parser;
+    private State state = State.START;
     private String field = "";
     /** How deep in something that is passed over. */
-    private int passing;
-    private long entries;
+    private int skipDepth;
+    private long entryCount;
     private long index = -1;
     private boolean whole;
     private String name, address, zone, type, status;
@@ -39,76 +39,76 @@
 
     private ListReader(ListSink sink, JsonParser in) {
         this.sink = sink;
-        this.in = in;
+        this.parser = in;
         sink.begin();
     }
 
     /** The list that the parser stands at the begin of. */
     public static void read(JsonParser in, ListSink sink) throws IOException {
         ListReader reader = new ListReader(sink, in);
-        reader.take(in.currentToken());
-        while (reader.at != At.OVER) {
+        reader.handle(in.currentToken());
+        while (reader.state != State.DONE) {
             JsonToken token = in.nextToken();
             if (token == null) {
                 throw new IOException("it ends within the list");
             }
-            reader.take(token);
+            reader.handle(token);
         }
-        reader.over();
+        reader.finish();
     }
 
     /** One list that is there whole. */
-    public static ListLine read(byte[] text) throws IOException {
-        ListLine[] read = new ListLine[1];
-        ListReader reader = new ListReader(new Collected(line -> read[0] = line));
-        reader.piece(text, 0, text.length);
-        reader.over();
+    public static ListUpdate read(byte[] text) throws IOException {
+        ListUpdate[] read = new ListUpdate[1];
+        ListReader reader = new ListReader(new CollectingSink(line -> read[0] = line));
+        reader.feed(text, 0, text.length);
+        reader.finish();
         return read[0];
     }
 
     /** Collects a list into an object. */
-    public static final class Collected implements ListSink {
-        private final Consumer<ListLine> taker;
-        private List<ListLine.Entry> entries = new ArrayList<>();
+    public static final class CollectingSink implements ListSink {
+        private final Consumer<ListUpdate> consumer;
+        private List<ListUpdate.Entry> entries = new ArrayList<>();
 
-        public Collected(Consumer<ListLine> taker) {
-            this.taker = taker;
+        public CollectingSink(Consumer<ListUpdate> taker) {
+            this.consumer = taker;
         }
 
         @Override public void begin() {
             entries = new ArrayList<>();
         }
 
-        @Override public void entry(ListLine.Entry entry) {
+        @Override public void entry(ListUpdate.Entry entry) {
             entries.add(entry);
         }
 
         @Override public void end(long index, boolean whole) {
-            taker.accept(new ListLine(index, whole, entries));
+            consumer.accept(new ListUpdate(index, whole, entries));
         }
     }
 
     /** The next bytes of it. */
-    public void piece(byte[] bytes, int from, int to) throws IOException {
-        ByteArrayFeeder feeder = (ByteArrayFeeder) in.getNonBlockingInputFeeder();
+    public void feed(byte[] bytes, int from, int to) throws IOException {
+        ByteArrayFeeder feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
         feeder.feedInput(bytes, from, to);
-        while (at != At.OVER) {
-            JsonToken token = in.nextToken();
+        while (state != State.DONE) {
+            JsonToken token = parser.nextToken();
             if (token == null || token == JsonToken.NOT_AVAILABLE) {
                 return;
             }
-            take(token);
+            handle(token);
         }
     }
 
     /** Entries read so far. */
-    public long entries() {
-        return entries;
+    public long entryCount() {
+        return entryCount;
     }
 
     /** All bytes have come: the list holds now, or it is malformed. */
-    public void over() throws IOException {
-        if (at != At.OVER) {
+    public void finish() throws IOException {
+        if (state != State.DONE) {
             throw new IOException("it ends within the list");
         }
         if (index < 0) {
@@ -117,24 +117,24 @@
         sink.end(index, whole);
     }
 
-    private void take(JsonToken token) throws IOException {
-        if (passing > 0 || token.isStructStart() && !expected(token)) {
-            passing += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
+    private void handle(JsonToken token) throws IOException {
+        if (skipDepth > 0 || token.isStructStart() && !isExpected(token)) {
+            skipDepth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             return;
         }
-        switch (at) {
-            case BEFORE -> {
+        switch (state) {
+            case START -> {
                 if (token != JsonToken.START_OBJECT) {
                     throw new IOException("expected an object");
                 }
-                at = At.LIST;
+                state = State.LIST;
             }
-            case LIST -> list(token);
+            case LIST -> readListToken(token);
             case ENDPOINTS -> {
                 if (token == JsonToken.END_ARRAY) {
-                    at = At.LIST;
+                    state = State.LIST;
                 } else if (token == JsonToken.START_OBJECT) {
-                    at = At.ENDPOINT;
+                    state = State.ENDPOINT;
                     name = address = zone = type = status = "";
                     group = -1;
                     weight = 0;
@@ -142,64 +142,64 @@
                     throw new IOException("expected an endpoint");
                 }
             }
-            case ENDPOINT -> endpoint(token);
+            case ENDPOINT -> readEndpointToken(token);
             default -> throw new IOException("more than a list");
         }
     }
 
     /** Whether a structure may begin here; any other is passed over where its field is not known. */
-    private boolean expected(JsonToken token) throws IOException {
-        boolean known = switch (at) {
+    private boolean isExpected(JsonToken token) throws IOException {
+        boolean known = switch (state) {
             case LIST -> field.equals("endpoints") || field.equals("index") || field.equals("snapshot");
             case ENDPOINT -> List.of("name", "address", "zone", "type", "status", "group", "weight").contains(field);
             default -> true;
         };
-        if (known && (at == At.ENDPOINT || at == At.LIST && !(field.equals("endpoints") && token == JsonToken.START_ARRAY))) {
+        if (known && (state == State.ENDPOINT || state == State.LIST && !(field.equals("endpoints") && token == JsonToken.START_ARRAY))) {
             throw new IOException("\"" + field + "\" is not of its kind");
         }
         return known;
     }
 
-    private void list(JsonToken token) throws IOException {
+    private void readListToken(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
-            field = in.currentName();
+            field = parser.currentName();
         } else if (token == JsonToken.END_OBJECT) {
-            at = At.OVER;
+            state = State.DONE;
         } else if (token == JsonToken.START_ARRAY) {
-            at = At.ENDPOINTS;
+            state = State.ENDPOINTS;
         } else if (field.equals("index")) {
-            index = in.getLongValue();
+            index = parser.getLongValue();
         } else if (field.equals("snapshot")) {
-            whole = in.getBooleanValue();
+            whole = parser.getBooleanValue();
         } else if (field.equals("endpoints")) {
             throw new IOException("\"endpoints\" is not of its kind");
         }
     }
 
-    private void endpoint(JsonToken token) throws IOException {
+    private void readEndpointToken(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
-            field = in.currentName();
+            field = parser.currentName();
             return;
         }
         if (token == JsonToken.END_OBJECT) {
-            at = At.ENDPOINTS;
+            state = State.ENDPOINTS;
             field = "endpoints";
-            entry();
+            emitEntry();
             return;
         }
         switch (field) {
-            case "name" -> name = in.getText();
-            case "address" -> address = in.getText();
-            case "zone" -> zone = in.getText();
-            case "type" -> type = in.getText();
-            case "status" -> status = in.getText();
-            case "group" -> group = in.getIntValue();
-            case "weight" -> weight = in.getDoubleValue();
+            case "name" -> name = parser.getText();
+            case "address" -> address = parser.getText();
+            case "zone" -> zone = parser.getText();
+            case "type" -> type = parser.getText();
+            case "status" -> status = parser.getText();
+            case "group" -> group = parser.getIntValue();
+            case "weight" -> weight = parser.getDoubleValue();
             default -> { }
         }
     }
 
-    private void entry() throws IOException {
+    private void emitEntry() throws IOException {
         if (name.isEmpty() || group < 0) {
             throw new IOException("an endpoint without a name or group");
         }
@@ -207,7 +207,7 @@
             // Guards endpoints against a spoilt word: taken for an end, it would drop them.
             throw new IOException("an endpoint of an unknown status");
         }
-        entries++;
-        sink.entry(new ListLine.Entry(name, address, zone, type, group, status, weight));
+        entryCount++;
+        sink.entry(new ListUpdate.Entry(name, address, zone, type, group, status, weight));
     }
 }
--- a/node/src/main/java/wrenreach/endpoints/ListSink.java
+++ b/node/src/main/java/wrenreach/endpoints/ListSink.java
@@ -8,7 +8,7 @@
     void begin();
 
     /** An entry; IOException: the list can't be taken, and the message says why. */
-    void entry(ListLine.Entry entry) throws IOException;
+    void entry(ListUpdate.Entry entry) throws IOException;
 
     /** All of it has come: its version, and whether it is the whole list or what has changed. */
     void end(long index, boolean whole) throws IOException;
--- a/node/src/main/java/wrenreach/frame/NodeEvent.java
+++ b/node/src/main/java/wrenreach/frame/NodeEvent.java
@@ -8,14 +8,14 @@
     String id();
 
     /** A mail was taken on: from now on it is owed its end. */
-    record MailTaken(String id, String queueClass, String tenant, int destination, int bytes, long endsBy, long at)
+    record MailAccepted(String id, String queueClass, String tenant, int destination, int bytes, long deadline, long at)
             implements NodeEvent { }
 
     /** A connect's bytes go out. number: counted within the mail. */
-    record ConnectBegun(String id, long number, String endpoint, long at) implements NodeEvent { }
+    record AttemptStarted(String id, long number, String endpoint, long at) implements NodeEvent { }
 
     /** A connect ended, also one whose bytes never went out. */
-    record ConnectEnded(String id, long number, String endpoint, Outcome outcome, long at) implements NodeEvent { }
+    record AttemptEnded(String id, long number, String endpoint, Outcome outcome, long at) implements NodeEvent { }
 
     /** A mail that was taken on has its end; retryAfterMs 0: no advice. */
     record MailEnded(String id, End end, long retryAfterMs, long at) implements NodeEvent { }
--- a/node/src/main/java/wrenreach/frame/Running.java
+++ b/node/src/main/java/wrenreach/frame/RunningSubsystem.java
@@ -8,7 +8,7 @@
  * bounded thread of the subsystem's own. In the order of the node's phases: {@link #serving}, {@link #stopping},
  * {@link #stopped}. One that throws is not called again, and the node goes on without it.
  */
-public interface Running<S extends Record> {
+public interface RunningSubsystem<S extends Record> {
     /** The node serves: its door is open. */
     default void serving() { }
 
@@ -22,12 +22,12 @@
     default void reloaded(S section) { }
 
     /** Who hears of mails; events come once what they tell is in the journal. */
-    default Optional<Consumer<NodeEvent>> ear() {
+    default Optional<Consumer<NodeEvent>> eventListener() {
         return Optional.empty();
     }
 
     /** What stands between discovery and the module; at most one subsystem brings one. */
-    default Optional<ListGate> listGate() {
+    default Optional<ListFilter> listFilter() {
         return Optional.empty();
     }
 }
--- a/node/src/main/java/wrenreach/frame/Subsystem.java
+++ b/node/src/main/java/wrenreach/frame/Subsystem.java
@@ -13,10 +13,10 @@
  */
 public interface Subsystem<S extends Record> {
     /** The subsystem can't be started; the message is one line for the one who starts the node. */
-    final class CantStart extends Exception {
+    final class StartException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public CantStart(String message) {
+        public StartException(String message) {
             super(message);
         }
     }
@@ -25,13 +25,13 @@
     Section<S> section();
 
     /** Starts it before the node's loop does anything; it may block for a bounded time. */
-    Running<S> start(S section, Host host) throws CantStart;
+    RunningSubsystem<S> start(S section, NodeContext host) throws StartException;
 
     /**
      * A home for what is owed in place of the journal, on the node's state folder; limit: bytes that it may hold. Called before
      * the node is made; at most one subsystem brings one.
      */
-    default Optional<Ledger> ledger(S section, Path state, long limit) throws CantStart {
+    default Optional<Ledger> ledger(S section, Path state, long limit) throws StartException {
         return Optional.empty();
     }
 
--- a/node/src/main/java/wrenreach/held/Entry.java
+++ b/node/src/main/java/wrenreach/held/Entry.java
@@ -14,14 +14,14 @@
     String id();
 
     /** Taken on; endsBy by the clock of the records, see {@link TimeBase}. */
-    record Taken(Submission submission, long endsBy) implements Entry {
+    record Accepted(Submission submission, long deadline) implements Entry {
         @Override public String id() {
             return submission.id();
         }
     }
 
     /** A connect's bytes are about to go out. */
-    record Connecting(String id, PastConnect connect) implements Entry { }
+    record AttemptStarted(String id, RecordedAttempt attempt) implements Entry { }
 
     /** A connect is known not to have run. */
     record NeverRan(String id, int number) implements Entry { }
@@ -37,18 +37,18 @@
     }
 
     /** Nothing is owed any more. */
-    record Over(String id) implements Entry { }
+    record Completed(String id) implements Entry { }
 
     /** The record without its length and checksum. */
     default byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            if (this instanceof Taken t) {
+            if (this instanceof Accepted t) {
                 Submission s = t.submission;
                 out.writeByte(1);
                 text(out, s.id());
-                out.writeLong(t.endsBy);
+                out.writeLong(t.deadline);
                 text(out, s.key());
                 text(out, s.queueClass());
                 text(out, s.tenant());
@@ -56,13 +56,13 @@
                 out.writeInt(s.destination());
                 out.writeInt(s.body().length);
                 out.write(s.body());
-            } else if (this instanceof Connecting c) {
+            } else if (this instanceof AttemptStarted c) {
                 out.writeByte(2);
                 text(out, c.id);
-                out.writeInt(c.connect.number());
-                text(out, c.connect.endpoint());
-                out.writeInt(c.connect.zone());
-                out.writeLong(c.connect.sentAt());
+                out.writeInt(c.attempt.number());
+                text(out, c.attempt.endpoint());
+                out.writeInt(c.attempt.zone());
+                out.writeLong(c.attempt.sentAt());
             } else if (this instanceof NeverRan n) {
                 out.writeByte(3);
                 text(out, n.id);
@@ -95,14 +95,14 @@
         return switch (type) {
             case 1 -> {
                 long endsBy = in.readLong();
-                yield new Taken(new Submission(id, text(in), text(in), text(in), text(in), in.readInt(),
+                yield new Accepted(new Submission(id, text(in), text(in), text(in), text(in), in.readInt(),
                         in.readNBytes(in.readInt())), endsBy);
             }
-            case 2 -> new Connecting(id,
-                    new PastConnect(in.readInt(), text(in), in.readInt(), in.readLong(), false));
+            case 2 -> new AttemptStarted(id,
+                    new RecordedAttempt(in.readInt(), text(in), in.readInt(), in.readLong(), false));
             case 3 -> new NeverRan(id, in.readInt());
             case 4 -> new Ended(id, new Ending(in.readBoolean(), in.readLong()));
-            case 5 -> new Over(id);
+            case 5 -> new Completed(id);
             case 6 -> new Clock(new TimeBase(text(in), in.readLong()));
             default -> throw new IOException("unknown type " + type);
         };
--- a/node/src/main/java/wrenreach/held/Journal.java
+++ b/node/src/main/java/wrenreach/held/Journal.java
@@ -27,60 +27,60 @@
  */
 public final class Journal implements Ledger {
     private static final System.Logger LOG = System.getLogger(Journal.class.getName());
-    private static final String NAME = "journal", NEXT = "journal.next";
+    private static final String FILE_NAME = "journal", NEXT_FILE_NAME = "journal.next";
     /** Where a store keeps what is owed, in the same folder. */
     public static final String STORE = "store";
-    private static final int HEAD = 8;
+    private static final int RECORD_HEADER_BYTES = 8;
     /**
      * Parts of the room: the old and the compacted file stand beside each other for a moment. The ballast has to hold the
      * connects and ends of what is owed for the seconds in which others fill the disk: a mail in some hundred bytes, more of
      * it the larger the folder.
      */
-    private static final double FILE_PART = 0.54, OWED_PART = 0.4, BALLAST_PART = 0.01;
+    private static final double FILE_SHARE = 0.54, OUTSTANDING_SHARE = 0.4, RESERVED_SHARE = 0.01;
 
     private final Path file;
-    private final Path next;
-    private final ListLog lists;
-    private final Ballast ballast;
+    private final Path nextFile;
+    private final ListLog listLog;
+    private final ReservedSpace reservedSpace;
     /** Microseconds of a clock that only goes forward. */
-    private LongSupplier micros = () -> System.nanoTime() / 1000;
+    private LongSupplier monotonicMicros = () -> System.nanoTime() / 1000;
     private final long fileLimit;
-    private final long owedLimit;
-    private final Map<String, HeldMail> owed;
+    private final long outstandingLimit;
+    private final Map<String, HeldMail> outstanding;
     private final boolean resumed;
     /** What the next write records, in order. */
-    private final List<Pending> pending = new ArrayList<>();
+    private final List<PendingRecord> pending = new ArrayList<>();
     private FileChannel channel;
     private long size;
-    private long owedBytes;
+    private long outstandingBytes;
     /** By which the records' times are; null: the wall's. */
-    private TimeBase base;
-    private boolean baseUnrecorded;
+    private TimeBase timeBase;
+    private boolean timeBaseUnrecorded;
     /** What the file holds behind the records that lasted is not known: the next write makes a new file. */
     private boolean tailUnknown;
 
     /** An entry with the bytes of its record. */
-    private record Pending(Entry entry, byte[] bytes) { }
+    private record PendingRecord(Entry entry, byte[] bytes) { }
 
     /** The bytes of the file that are whole records, and the clock that their times are by; null: the wall's. */
-    private record Replayed(long bytes, TimeBase base) { }
-
-    private Journal(Path folder, long limit, Map<String, HeldMail> owed, Replayed replayed) throws IOException {
-        file = folder.resolve(NAME);
-        next = folder.resolve(NEXT);
-        lists = new ListLog(folder, limit);
-        fileLimit = (long) (limit * FILE_PART);
-        owedLimit = (long) (limit * OWED_PART);
-        this.owed = owed;
-        size = replayed.bytes;
-        base = replayed.base;
+    private record ReplayResult(long validBytes, TimeBase timeBase) { }
+
+    private Journal(Path folder, long limit, Map<String, HeldMail> owed, ReplayResult replayed) throws IOException {
+        file = folder.resolve(FILE_NAME);
+        nextFile = folder.resolve(NEXT_FILE_NAME);
+        listLog = new ListLog(folder, limit);
+        fileLimit = (long) (limit * FILE_SHARE);
+        outstandingLimit = (long) (limit * OUTSTANDING_SHARE);
+        this.outstanding = owed;
+        size = replayed.validBytes;
+        timeBase = replayed.timeBase;
         resumed = size > 0;
-        owed.values().forEach(held -> owedBytes += held.bytes);
-        Files.deleteIfExists(next);
+        owed.values().forEach(held -> outstandingBytes += held.journalBytes);
+        Files.deleteIfExists(nextFile);
         channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         channel.truncate(size);
         channel.position(size);
-        ballast = new Ballast(folder.resolve("ballast"), (long) (limit * BALLAST_PART));
+        reservedSpace = new ReservedSpace(folder.resolve("ballast"), (long) (limit * RESERVED_SHARE));
     }
 
     /** Opens the folder's journal for writing; limit: bytes that the folder may hold. */
@@ -90,98 +90,98 @@
             throw new IOException(folder.resolve(STORE) + " holds what is owed: [store] has to stay on");
         }
         Map<String, HeldMail> owed = new LinkedHashMap<>();
-        return new Journal(folder, limit, owed, replay(folder.resolve(NAME), owed));
+        return new Journal(folder, limit, owed, replay(folder.resolve(FILE_NAME), owed));
     }
 
     /** What the folder's journal owes, in the order taken on; nothing is written. */
     public static List<HeldMail> read(Path folder) throws IOException {
         Map<String, HeldMail> owed = new LinkedHashMap<>();
-        replay(folder.resolve(NAME), owed);
+        replay(folder.resolve(FILE_NAME), owed);
         return new ArrayList<>(owed.values());
     }
 
     @Override public Optional<TimeBase> timeBase() {
-        return Optional.ofNullable(base);
+        return Optional.ofNullable(timeBase);
     }
 
     @Override public void startClock(TimeBase started, LongSupplier itsMicros) {
-        micros = itsMicros;
-        baseUnrecorded = !started.equals(base);
-        base = started;
+        monotonicMicros = itsMicros;
+        timeBaseUnrecorded = !started.equals(timeBase);
+        timeBase = started;
     }
 
     @Override public boolean resumed() {
         return resumed;
     }
 
-    @Override public List<HeldMail> owed() {
-        return new ArrayList<>(owed.values());
+    @Override public List<HeldMail> outstanding() {
+        return new ArrayList<>(outstanding.values());
     }
 
     @Override public boolean fits(int bodyBytes, int before, int tries) {
-        return ballast.held() && owedBytes + (1L + before) * (bodyBytes + (1 + tries) * 128L) <= owedLimit;
+        return reservedSpace.reserved() && outstandingBytes + (1L + before) * (bodyBytes + (1 + tries) * 128L) <= outstandingLimit;
     }
 
-    @Override public void taken(HeldMail held) {
-        held.owed = true;
-        owed.put(held.submission.id(), held);
-        note(held, new Entry.Taken(held.submission, held.endsBy));
+    @Override public void accepted(HeldMail held) {
+        held.accepted = true;
+        outstanding.put(held.submission.id(), held);
+        addPendingFor(held, new Entry.Accepted(held.submission, held.deadline));
     }
 
-    @Override public void connecting(HeldMail held, PastConnect connect) {
-        held.connects.add(connect);
-        note(held, new Entry.Connecting(held.submission.id(), connect));
+    @Override public void attemptStarted(HeldMail held, RecordedAttempt connect) {
+        held.attempts.add(connect);
+        addPendingFor(held, new Entry.AttemptStarted(held.submission.id(), connect));
         if (connect.neverRan()) {
-            note(held, new Entry.NeverRan(held.submission.id(), connect.number()));
+            addPendingFor(held, new Entry.NeverRan(held.submission.id(), connect.number()));
         }
     }
 
     @Override public void neverRan(HeldMail held, int number) {
-        if (held.neverRan(number)) {
-            note(held, new Entry.NeverRan(held.submission.id(), number));
+        if (held.markNeverRan(number)) {
+            addPendingFor(held, new Entry.NeverRan(held.submission.id(), number));
         }
     }
 
     @Override public void ended(HeldMail held, Ending ending) {
         held.ending = ending;
-        note(held, new Entry.Ended(held.submission.id(), ending));
+        addPendingFor(held, new Entry.Ended(held.submission.id(), ending));
     }
 
-    @Override public void over(HeldMail held) {
-        if (held.owed && owed.remove(held.submission.id(), held)) {
-            held.owed = false;
-            add(new Entry.Over(held.submission.id()));
-            owedBytes -= held.bytes;
+    @Override public void completed(HeldMail held) {
+        if (held.accepted && outstanding.remove(held.submission.id(), held)) {
+            held.accepted = false;
+            addPending(new Entry.Completed(held.submission.id()));
+            outstandingBytes -= held.journalBytes;
         }
     }
 
-    @Override public boolean writesAgain() {
+    @Override public boolean canRetryWrite() {
         return true;
     }
 
     @Override public void retract(HeldMail held) {
-        if (owed.remove(held.submission.id(), held)) {
-            held.owed = false;
-            owedBytes -= held.bytes;
+        if (outstanding.remove(held.submission.id(), held)) {
+            held.accepted = false;
+            outstandingBytes -= held.journalBytes;
             pending.removeIf(one -> one.entry.id().equals(held.submission.id()));
         }
     }
 
     @Override public void retractAttempt(HeldMail held, int number) {
-        for (Iterator<Pending> all = pending.iterator(); all.hasNext();) {
-            Pending one = all.next();
-            if (one.entry instanceof Entry.Connecting connecting && connecting.id().equals(held.submission.id())
-                    && connecting.connect().number() == number) {
+        for (Iterator<PendingRecord> all = pending.iterator(); all.hasNext();) {
+            PendingRecord one = all.next();
+            if (one.entry instanceof Entry.AttemptStarted connecting && connecting.id().equals(held.submission.id())
+                    && connecting.attempt().number() == number) {
                 all.remove();
-                held.bytes -= one.bytes.length;
-                owedBytes -= one.bytes.length;
-                held.connects.remove(connecting.connect());
+                held.journalBytes -= one.bytes.length;
+                outstandingBytes -= one.bytes.length;
+                held.attempts.remove(connecting.attempt());
             }
         }
     }
 
-    @Override public ListLog lists() {
-        return lists;
+    @Override public ListLog listLog() {
+        return listLog;
     }
 
     @Override public long size() {
@@ -196,34 +196,34 @@
 
     /** The same, for who has no turn. */
     public void write() throws IOException {
-        if (ballast.restore(micros.getAsLong())) {
-            LogEvent.tell(LOG, Level.WARNING, "journal.room", "the disk has room again: mails are taken on");
+        if (reservedSpace.restore(monotonicMicros.getAsLong())) {
+            LogEvent.log(LOG, Level.WARNING, "journal.room", "the disk has room again: mails are taken on");
         }
         if (pending.isEmpty() && !tailUnknown) {
             return;
         }
         try {
-            while (!appended()) {
-                cutTail();
+            while (!appendOrFreeSpace()) {
+                truncateTail();
             }
         } catch (IOException e) {
-            afterFailure(e);
+            discardFailedWrite(e);
             throw e;
         }
         pending.clear();
         tailUnknown = false;
     }
 
-    private void cutTail() throws IOException {
+    private void truncateTail() throws IOException {
         channel.truncate(size);
         channel.position(size);
     }
 
     /** What a failed write has left in the file is cut off at once: another process would take whole records of it for promises. */
-    private void afterFailure(IOException failure) {
+    private void discardFailedWrite(IOException failure) {
         try {
-            cutTail();
-            tailUnknown |= !FolderFault.isForWantOfRoom(failure);
+            truncateTail();
+            tailUnknown |= !StorageErrors.isDiskFull(failure);
         } catch (IOException e) {
             tailUnknown = true;
             failure.addSuppressed(e);
@@ -235,15 +235,15 @@
      * room is kept for it; and a promise is worth more than a kept list, which discovery can say again. False: there is more
      * room now than there was.
      */
-    private boolean appended() throws IOException {
+    private boolean appendOrFreeSpace() throws IOException {
         try {
             append();
             return true;
         } catch (IOException e) {
-            if (ballast.release()) {
-                LogEvent.tell(LOG, Level.ERROR, "journal.short",
+            if (reservedSpace.release()) {
+                LogEvent.log(LOG, Level.ERROR, "journal.short",
                         "the disk takes no more: new mails are refused, what is owed goes on: {why}", "why", e.getMessage());
-            } else if (!lists.giveUp()) {
+            } else if (!listLog.discard()) {
                 throw e;
             }
             return false;
@@ -263,17 +263,17 @@
     /** What is pending is part of the state that this writes. */
     private void compact() throws IOException {
         long before = size;
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) Math.max(64, owedBytes));
-        if (base != null) {
-            bytes.writeBytes(recordOf(new Entry.Clock(base)));
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) Math.max(64, outstandingBytes));
+        if (timeBase != null) {
+            bytes.writeBytes(encodeRecord(new Entry.Clock(timeBase)));
         }
-        owed.values().forEach(held -> entries(held).forEach(entry -> bytes.writeBytes(recordOf(entry))));
-        FileChannel fresh = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+        outstanding.values().forEach(held -> entriesOf(held).forEach(entry -> bytes.writeBytes(encodeRecord(entry))));
+        FileChannel fresh = FileChannel.open(nextFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING);
         int after;
         try {
             after = write(fresh, bytes);
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(nextFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             fresh.close();
             throw e;
@@ -282,8 +282,8 @@
         channel = fresh;
         size = after;
         closeReplaced(replaced);
-        LogEvent.tell(LOG, Level.INFO, "journal.compacted", "journal compacted: {before} to {after} bytes, {owed} mails owed",
-                "before", before, "after", size, "owed", owed.size());
+        LogEvent.log(LOG, Level.INFO, "journal.compacted", "journal compacted: {before} to {after} bytes, {owed} mails owed",
+                "before", before, "after", size, "owed", outstanding.size());
     }
 
     /** The records are in the new file by now: an error of the old one is no failure of the write. */
@@ -291,15 +291,15 @@
         try {
             replaced.close();
         } catch (IOException e) {
-            LogEvent.tell(LOG, Level.WARNING, "journal.old", "the journal's old file can't be closed: {why}", "why", e.getMessage());
+            LogEvent.log(LOG, Level.WARNING, "journal.old", "the journal's old file can't be closed: {why}", "why", e.getMessage());
         }
     }
 
-    private static List<Entry> entries(HeldMail held) {
+    private static List<Entry> entriesOf(HeldMail held) {
         List<Entry> entries = new ArrayList<>();
-        entries.add(new Entry.Taken(held.submission, held.endsBy));
-        for (PastConnect c : held.connects) {
-            entries.add(new Entry.Connecting(held.submission.id(), c));
+        entries.add(new Entry.Accepted(held.submission, held.deadline));
+        for (RecordedAttempt c : held.attempts) {
+            entries.add(new Entry.AttemptStarted(held.submission.id(), c));
             if (c.neverRan()) {
                 entries.add(new Entry.NeverRan(held.submission.id(), c.number()));
             }
@@ -310,26 +310,26 @@
         return entries;
     }
 
-    private void note(HeldMail held, Entry entry) {
-        int bytes = add(entry);
-        held.bytes += bytes;
-        owedBytes += bytes;
+    private void addPendingFor(HeldMail held, Entry entry) {
+        int bytes = addPending(entry);
+        held.journalBytes += bytes;
+        outstandingBytes += bytes;
     }
 
-    private int add(Entry entry) {
-        if (baseUnrecorded) {
+    private int addPending(Entry entry) {
+        if (timeBaseUnrecorded) {
             // Not by itself: a process that records nothing leaves the folder as it was.
-            baseUnrecorded = false;
-            add(new Entry.Clock(base));
+            timeBaseUnrecorded = false;
+            addPending(new Entry.Clock(timeBase));
         }
-        Pending one = new Pending(entry, recordOf(entry));
+        PendingRecord one = new PendingRecord(entry, encodeRecord(entry));
         pending.add(one);
         return one.bytes.length;
     }
 
-    private static byte[] recordOf(Entry entry) {
+    private static byte[] encodeRecord(Entry entry) {
         byte[] content = entry.encode();
-        return ByteBuffer.allocate(HEAD + content.length).putInt(content.length).putInt(checksum(content)).put(content).array();
+        return ByteBuffer.allocate(RECORD_HEADER_BYTES + content.length).putInt(content.length).putInt(checksum(content)).put(content).array();
     }
 
     private static int write(FileChannel to, ByteArrayOutputStream bytes) throws IOException {
@@ -341,14 +341,14 @@
     }
 
     /** Reads records until the end or the first that is not whole; the length of those that are. */
-    private static Replayed replay(Path file, Map<String, HeldMail> owed) throws IOException {
+    private static ReplayResult replay(Path file, Map<String, HeldMail> owed) throws IOException {
         if (!Files.exists(file)) {
-            return new Replayed(0, null);
+            return new ReplayResult(0, null);
         }
         TimeBase base = null;
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
         int good = 0;
-        while (bytes.remaining() >= HEAD) {
+        while (bytes.remaining() >= RECORD_HEADER_BYTES) {
             int length = bytes.getInt();
             int checksum = bytes.getInt();
             if (length < 0 || length > bytes.remaining()) {
@@ -361,34 +361,34 @@
             }
             Entry entry = Entry.decode(content);
             base = entry instanceof Entry.Clock clock ? clock.base() : base;
-            apply(entry, HEAD + length, owed);
+            apply(entry, RECORD_HEADER_BYTES + length, owed);
             good = bytes.position();
         }
         if (good < bytes.limit()) {
-            LogEvent.tell(LOG, Level.WARNING, "journal.torn", "journal: cut off a torn tail of {bytes} bytes",
+            LogEvent.log(LOG, Level.WARNING, "journal.torn", "journal: cut off a torn tail of {bytes} bytes",
                     "bytes", bytes.limit() - good);
         }
-        return new Replayed(good, base);
+        return new ReplayResult(good, base);
     }
 
     private static void apply(Entry entry, int bytes, Map<String, HeldMail> owed) {
         HeldMail held = owed.get(entry.id());
-        if (entry instanceof Entry.Taken taken) {
-            held = new HeldMail(taken.submission(), taken.endsBy());
-            held.owed = true;
+        if (entry instanceof Entry.Accepted taken) {
+            held = new HeldMail(taken.submission(), taken.deadline());
+            held.accepted = true;
             owed.put(entry.id(), held);
         } else if (held == null) {
             return;
-        } else if (entry instanceof Entry.Connecting connecting) {
-            held.connects.add(connecting.connect());
+        } else if (entry instanceof Entry.AttemptStarted connecting) {
+            held.attempts.add(connecting.attempt());
         } else if (entry instanceof Entry.NeverRan neverRan) {
-            held.neverRan(neverRan.number());
+            held.markNeverRan(neverRan.number());
         } else if (entry instanceof Entry.Ended ended) {
             held.ending = ended.ending();
         } else {
             owed.remove(entry.id());
         }
-        held.bytes += bytes;
+        held.journalBytes += bytes;
     }
 
     private static int checksum(byte[] content) {
--- a/node/src/main/java/wrenreach/held/Ledger.java
+++ b/node/src/main/java/wrenreach/held/Ledger.java
@@ -27,31 +27,31 @@
     boolean resumed();
 
     /** What is owed, in the order taken on. */
-    List<HeldMail> owed();
+    List<HeldMail> outstanding();
 
     /** Whether a mail of this body, its connects and its ending would find room; so many are to come before. */
     boolean fits(int bodyBytes, int before, int tries);
 
     /** Whether a mail of this id was taken on and has ended, as far as that is remembered. */
-    default boolean remembers(String id) {
+    default boolean hasEnded(String id) {
         return false;
     }
 
-    void taken(HeldMail held);
+    void accepted(HeldMail held);
 
-    void connecting(HeldMail held, PastConnect connect);
+    void attemptStarted(HeldMail held, RecordedAttempt connect);
 
     void neverRan(HeldMail held, int number);
 
     void ended(HeldMail held, Ending ending);
 
-    void over(HeldMail held);
+    void completed(HeldMail held);
 
     /**
      * Whether a write that has failed may be tried again: what was noted is kept, and is written by the next one. Where not, the node
      * has to stop after a failed write.
      */
-    default boolean writesAgain() {
+    default boolean canRetryWrite() {
         return false;
     }
 
@@ -72,7 +72,7 @@
     boolean write(Runnable then) throws IOException;
 
     /** Where the list of endpoints is kept for the next process. */
-    ListLog lists();
+    ListLog listLog();
 
     /** Bytes that its files hold. */
     long size();
--- a/node/src/main/java/wrenreach/held/Ballast.java
+++ b/node/src/main/java/wrenreach/held/ReservedSpace.java
@@ -8,46 +8,46 @@
 import java.nio.file.StandardOpenOption;
 
 /** Room on the disk that is taken so that it can be let go: a file of no content. */
-public final class Ballast {
+public final class ReservedSpace {
     /** Between two tries to take it again, in microseconds. */
-    private static final long LOOK = 1_000_000;
+    private static final long RETRY_INTERVAL_MICROS = 1_000_000;
 
     private final Path file;
     private final long bytes;
-    private boolean held;
-    private long triedAt;
+    private boolean reserved;
+    private long lastTriedAt;
 
     /** bytes: how much it takes; a disk that has no room for it now may have later. */
-    public Ballast(Path file, long bytes) {
+    public ReservedSpace(Path file, long bytes) {
         this.file = file;
         this.bytes = bytes;
-        held = take();
+        reserved = reserve();
     }
 
     /** Whether the room is there. */
-    public boolean held() {
-        return held;
+    public boolean reserved() {
+        return reserved;
     }
 
     /** Lets it go; false: it was gone already. */
     public boolean release() throws IOException {
-        boolean was = held && bytes > 0;
-        held = false;
+        boolean was = reserved && bytes > 0;
+        reserved = false;
         Files.deleteIfExists(file);
         return was;
     }
 
     /** Takes it again where it is gone and the disk has room; true: it is back. */
     public boolean restore(long now) {
-        if (held || now - triedAt < LOOK) {
+        if (reserved || now - lastTriedAt < RETRY_INTERVAL_MICROS) {
             return false;
         }
-        triedAt = now;
-        held = take();
-        return held;
+        lastTriedAt = now;
+        reserved = reserve();
+        return reserved;
     }
 
-    private boolean take() {
+    private boolean reserve() {
         try {
             if (bytes == 0 || Files.exists(file) && Files.size(file) == bytes) {
                 return true;
--- a/node/src/main/java/wrenreach/net/Addresses.java
+++ b/node/src/main/java/wrenreach/net/Addresses.java
@@ -10,7 +10,7 @@
     private Addresses() { }
 
     /** The address as host:port. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
 
--- a/node/src/main/java/wrenreach/net/CallCodec.java
+++ b/node/src/main/java/wrenreach/net/CallCodec.java
@@ -14,8 +14,8 @@
 
 /** The form of a call on the wire. */
 final class CallCodec {
-    private static final long LONGEST_WAIT_MS = 86_400_000;
-    private static final double MOST = 1e6;
+    private static final long MAX_RETRY_AFTER_MS = 86_400_000;
+    private static final double MAX_REPORTED_VALUE = 1e6;
 
     private final List<String> reportNames;
 
@@ -24,7 +24,7 @@
         this.reportNames = reportNames;
     }
 
-    static FullHttpRequest request(Submission mail, String host, long budgetMs) {
+    static FullHttpRequest encode(Submission mail, String host, long budgetMs) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/events",
                 Unpooled.wrappedBuffer(mail.body()));
         request.headers().set(HttpHeaderNames.HOST, host).set("X-Call-Id", mail.id());
@@ -36,32 +36,32 @@
         return request;
     }
 
-    CallAnswer answer(HttpResponse response) {
-        double[] report = report(response.headers().get("X-Load-Report"));
+    CallResult decode(HttpResponse response) {
+        double[] report = parseLoadReport(response.headers().get("X-Load-Report"));
         return switch (response.status().code()) {
-            case 200 -> new CallAnswer(new Outcome.Delivered(), report, true, true);
-            case 410 -> new CallAnswer(new Outcome.NotSent(false), report, true, true);
-            case 429 -> new CallAnswer(new Outcome.Rejected(1000 * wait(response.headers().get("Wait-Ms"))), report, false,
+            case 200 -> new CallResult(new Outcome.Delivered(), report, true, true);
+            case 410 -> new CallResult(new Outcome.NotSent(false), report, true, true);
+            case 429 -> new CallResult(new Outcome.Rejected(1000 * parseRetryAfterMs(response.headers().get("Wait-Ms"))), report, false,
                     true);
-            case 500 -> new CallAnswer(new Outcome.ServerError(), report, false, true);
-            case 503 -> new CallAnswer("1".equals(response.headers().get("Slots-Taken")) ? new Outcome.NotSent(true)
+            case 500 -> new CallResult(new Outcome.ServerError(), report, false, true);
+            case 503 -> new CallResult("1".equals(response.headers().get("Slots-Taken")) ? new Outcome.NotSent(true)
                     : new Outcome.Rejected(0), report, false, true);
-            case 504 -> new CallAnswer(new Outcome.NotSent(false), report, false, true);
+            case 504 -> new CallResult(new Outcome.NotSent(false), report, false, true);
             // Guards against what no page names: it may have run.
-            default -> new CallAnswer(new Outcome.ServerError(), report, false, false);
+            default -> new CallResult(new Outcome.ServerError(), report, false, false);
         };
     }
 
-    private static long wait(String ms) {
+    private static long parseRetryAfterMs(String ms) {
         try {
-            return ms == null ? 0 : Math.max(0, Math.min(LONGEST_WAIT_MS, (long) Math.ceil(Double.parseDouble(ms))));
+            return ms == null ? 0 : Math.max(0, Math.min(MAX_RETRY_AFTER_MS, (long) Math.ceil(Double.parseDouble(ms))));
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
     /** The figures in the settings' order; none where the answer holds no report that can be read. */
-    double[] report(String text) {
+    double[] parseLoadReport(String text) {
         if (text == null || reportNames.isEmpty()) {
             return new double[0];
         }
@@ -79,6 +79,6 @@
             return new double[0];
         }
         // Guards the decisions against spoilt figures: rates and shares are not negative, and no rate is that high.
-        return Arrays.stream(report).allMatch(figure -> figure >= 0 && figure <= MOST) ? report : new double[0];
+        return Arrays.stream(report).allMatch(figure -> figure >= 0 && figure <= MAX_REPORTED_VALUE) ? report : new double[0];
     }
 }
--- a/node/src/main/java/wrenreach/net/Calls.java
+++ b/node/src/main/java/wrenreach/net/Calls.java
@@ -30,7 +30,7 @@
 import wrenreach.api.Outcome;
 import wrenreach.held.HeldMail;
 import wrenreach.log.LogEvent;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Endpoint;
 import wrenreach.state.Route;
 
@@ -41,66 +41,66 @@
 public final class Calls {
     private static final System.Logger LOG = System.getLogger(Calls.class.getName());
     /** Part of the settings' idle time after which a connection is given up, before the other side does. */
-    private static final double IDLE_PART = 0.9;
+    private static final double IDLE_TIMEOUT_FACTOR = 0.9;
     /** The protocol's limit of a body, and how long an answer may take from its first line to its last byte. */
-    private static final int BODY_LIMIT = 64 * 1024;
-    private static final long ANSWER_MS = 500;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final long RESPONSE_BODY_TIMEOUT_MS = 500;
     /** How long one line on answers that can't be read stands for those that follow. */
-    private static final long QUIET = 10_000_000;
+    private static final long LOG_INTERVAL_US = 10_000_000;
 
     /** What the calls report. */
     public interface Host {
         /** The time of the turn. */
-        long turn();
+        long iterationTime();
 
         /** How long ago the turn began, in microseconds: what is read now came later than {@link #turn} by this much. */
-        long turnAge();
+        long iterationAge();
 
         /** A connect ended. */
-        void ended(HeldMail held, Connect connect, Outcome outcome, double[] report, boolean over);
+        void attemptEnded(HeldMail held, DeliveryAttempt connect, Outcome outcome, double[] report, boolean over);
 
         /** Whether the mail's turn is held up by an ending that the platform has not heard yet. */
-        boolean heldBack(HeldMail held);
+        boolean isBlocked(HeldMail held);
 
         /** The call's bytes go out next. */
-        void goesOut(HeldMail held, Connect connect);
+        void beforeSend(HeldMail held, DeliveryAttempt connect);
     }
 
     /** Where an endpoint listens and its connections that stand idle, latest used last. */
-    private static final class Pool {
+    private static final class ConnectionPool {
         InetSocketAddress address;
-        boolean gone;
-        final Deque<Link> idle = new ArrayDeque<>(4);
+        boolean removed;
+        final Deque<Connection> idleConnections = new ArrayDeque<>(4);
     }
 
     /** One call under way. */
-    private static final class Outgoing {
-        final HeldMail held;
-        final Connect connect;
-        Link link;
-        Due cut;
-        boolean over;
-
-        Outgoing(HeldMail held, Connect connect) {
-            this.held = held;
-            this.connect = connect;
+    private static final class PendingCall {
+        final HeldMail heldMail;
+        final DeliveryAttempt attempt;
+        Connection connection;
+        DelayedTask timeout;
+        boolean ended;
+
+        PendingCall(HeldMail held, DeliveryAttempt connect) {
+            this.heldMail = held;
+            this.attempt = connect;
         }
     }
 
     private final EventLoop loop;
     private final Host host;
     private final CallCodec codec;
-    private final long idleFor;
-    private final int idleLimit;
+    private final long idleTimeoutUs;
+    private final int maxIdleConnections;
     private final Connector connector;
-    private final Map<Endpoint, Pool> pools = new IdentityHashMap<>();
-    private final Map<Connect, Outgoing> out = new LinkedHashMap<>();
-    private final Map<Route, Long> toldUntil = new IdentityHashMap<>();
-    private final Deque<Link> idle = new ArrayDeque<>();
-    private List<Outgoing> staged = new ArrayList<>();
-    private final List<Outgoing> going = new ArrayList<>();
-    private int spoilt;
-    private long quietUntil;
+    private final Map<Endpoint, ConnectionPool> pools = new IdentityHashMap<>();
+    private final Map<DeliveryAttempt, PendingCall> inFlightCalls = new LinkedHashMap<>();
+    private final Map<Route, Long> retryAfterUntil = new IdentityHashMap<>();
+    private final Deque<Connection> idleConnections = new ArrayDeque<>();
+    private List<PendingCall> stagedCalls = new ArrayList<>();
+    private final List<PendingCall> preparedCalls = new ArrayList<>();
+    private int unreadableResponses;
+    private long nextLogAt;
 
     /** Times in microseconds; idleLimit: connections that may stand idle. */
     public Calls(EventLoop loop, ChannelFactory<? extends Channel> connecting, Host host, List<String> reportNames,
@@ -108,8 +108,8 @@
         this.loop = loop;
         this.host = host;
         this.codec = new CallCodec(reportNames);
-        this.idleFor = idleFor > 0 ? (long) (idleFor * IDLE_PART) : Long.MAX_VALUE;
-        this.idleLimit = idleLimit;
+        this.idleTimeoutUs = idleFor > 0 ? (long) (idleFor * IDLE_TIMEOUT_FACTOR) : Long.MAX_VALUE;
+        this.maxIdleConnections = idleLimit;
         connector = new Connector(loop, new Bootstrap().channelFactory(connecting)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
@@ -117,65 +117,65 @@
     }
 
     /** Where the endpoint listens from now on. */
-    public void locate(Endpoint endpoint, InetSocketAddress address) {
-        Pool pool = pools.computeIfAbsent(endpoint, e -> new Pool());
+    public void setAddress(Endpoint endpoint, InetSocketAddress address) {
+        ConnectionPool pool = pools.computeIfAbsent(endpoint, e -> new ConnectionPool());
         if (!address.equals(pool.address)) {
-            release(endpoint);
+            closeIdle(endpoint);
             pool.address = address;
         }
     }
 
     /** Drops all but these endpoints; their idle connections close, and those in use do so after their call. */
-    public void keepOnly(Set<Endpoint> listed) {
-        pools.keySet().stream().filter(endpoint -> !listed.contains(endpoint)).toList().forEach(this::drop);
+    public void retainOnly(Set<Endpoint> listed) {
+        pools.keySet().stream().filter(endpoint -> !listed.contains(endpoint)).toList().forEach(this::remove);
     }
 
     /** Drops one endpoint: its idle connections close, and those in use do so after their call. */
-    public void drop(Endpoint endpoint) {
-        Pool pool = pools.remove(endpoint);
+    public void remove(Endpoint endpoint) {
+        ConnectionPool pool = pools.remove(endpoint);
         if (pool != null) {
-            pool.gone = true;
-            new ArrayList<>(pool.idle).forEach(Link::close);
+            pool.removed = true;
+            new ArrayList<>(pool.idleConnections).forEach(Connection::close);
         }
     }
 
-    public int underWay() {
-        return out.size();
+    public int inFlight() {
+        return inFlightCalls.size();
     }
 
     /** Makes a connect: over an idle connection, else a new one. */
-    public void send(HeldMail held, Connect connect) {
-        Outgoing call = new Outgoing(held, connect);
-        out.put(connect, call);
-        Pool pool = pools.get(connect.endpoint);
-        Link link = pool == null ? null : pool.idle.pollLast();
-        call.cut = Due.after(loop, connect.cutAt - host.turn(), () -> cut(call));
+    public void send(HeldMail held, DeliveryAttempt connect) {
+        PendingCall call = new PendingCall(held, connect);
+        inFlightCalls.put(connect, call);
+        ConnectionPool pool = pools.get(connect.endpoint);
+        Connection link = pool == null ? null : pool.idleConnections.pollLast();
+        call.timeout = DelayedTask.schedule(loop, connect.timeoutAt - host.iterationTime(), () -> timeOut(call));
         if (link != null) {
-            idle.remove(link);
-            link.stopIdling();
-            connect.kept = true;
-            carry(link, call);
+            idleConnections.remove(link);
+            link.cancelIdleTimeout();
+            connect.reusedConnection = true;
+            stage(link, call);
         } else if (pool == null || pool.address == null) {
             loop.execute(() -> end(call, new Outcome.ConnectFailed()));
         } else {
-            open(pool, call);
+            openConnection(pool, call);
         }
     }
 
-    private void open(Pool pool, Outgoing call) {
-        Link link = new Link(pool);
+    private void openConnection(ConnectionPool pool, PendingCall call) {
+        Connection link = new Connection(pool);
         link.call = call;
-        call.link = link;
+        call.connection = link;
         link.channel = connector.open(pool.address, new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(link.start, new HttpObjectAggregator(BODY_LIMIT),
+                channel.pipeline().addLast(link.statusDecoder, new HttpObjectAggregator(MAX_BODY_BYTES),
                         new HttpRequestEncoder(), link);
             }
         }, new Connector.Listener() {
             @Override public void connected(Channel channel) {
-                if (!call.over) {
-                    host.turn();
-                    carry(link, call);
+                if (!call.ended) {
+                    host.iterationTime();
+                    stage(link, call);
                 }
             }
 
@@ -185,17 +185,17 @@
         });
     }
 
-    private void carry(Link link, Outgoing call) {
+    private void stage(Connection link, PendingCall call) {
         link.call = call;
         link.written = false;
-        call.link = link;
-        staged.add(call);
+        call.connection = link;
+        stagedCalls.add(call);
     }
 
     /** The module has heard a told wait: nothing unwritten goes to this route before it is over. */
-    private void toldToWait(Route route, long until) {
-        toldUntil.values().removeIf(passed -> passed <= host.turn());
-        toldUntil.merge(route, until, Math::max);
+    private void setRetryAfter(Route route, long until) {
+        retryAfterUntil.values().removeIf(passed -> passed <= host.iterationTime());
+        retryAfterUntil.merge(route, until, Math::max);
     }
 
     /**
@@ -203,253 +203,253 @@
      * waits that came in, repeats whose window ended, and addresses that passed to another endpoint, while the connection
      * was being made.
      */
-    public void dropForbidden() {
-        long now = host.turn();
-        for (Outgoing call : List.copyOf(staged)) {
-            Endpoint endpoint = call.connect.endpoint;
-            if (!endpoint.ready || call.link.leftBehind() || call.connect.goesBy < now || toldUntil.getOrDefault(endpoint.route, Long.MIN_VALUE) > now) {
-                Link link = call.link;
+    public void dropDisallowed() {
+        long now = host.iterationTime();
+        for (PendingCall call : List.copyOf(stagedCalls)) {
+            Endpoint endpoint = call.attempt.endpoint;
+            if (!endpoint.ready || call.connection.hasFormerAddress() || call.attempt.sendDeadline < now || retryAfterUntil.getOrDefault(endpoint.route, Long.MIN_VALUE) > now) {
+                Connection link = call.connection;
                 end(call, new Outcome.NotSent(false));
-                link.rest();
+                link.becomeIdle();
             }
         }
     }
 
     /** Before the turn's records are written: names each call whose bytes go out after them. */
-    public void choose() {
-        List<Outgoing> kept = new ArrayList<>();
-        for (Outgoing call : staged) {
-            if (host.heldBack(call.held)) {
+    public void prepareWrites() {
+        List<PendingCall> kept = new ArrayList<>();
+        for (PendingCall call : stagedCalls) {
+            if (host.isBlocked(call.heldMail)) {
                 kept.add(call);
             } else {
-                host.goesOut(call.held, call.connect);
-                going.add(call);
+                host.beforeSend(call.heldMail, call.attempt);
+                preparedCalls.add(call);
             }
         }
-        staged = kept;
+        stagedCalls = kept;
     }
 
     /** What was chosen does not go out after all: it is staged again, and each is told to taken. */
-    public void unchoose(BiConsumer<HeldMail, Connect> taken) {
-        List<Outgoing> chosen = List.copyOf(going);
-        going.clear();
-        staged.addAll(0, chosen);
-        chosen.forEach(call -> taken.accept(call.held, call.connect));
+    public void undoPreparedWrites(BiConsumer<HeldMail, DeliveryAttempt> taken) {
+        List<PendingCall> chosen = List.copyOf(preparedCalls);
+        preparedCalls.clear();
+        stagedCalls.addAll(0, chosen);
+        chosen.forEach(call -> taken.accept(call.heldMail, call.attempt));
     }
 
     /** Writes the chosen calls. */
     public void flush(long now) {
         // Guards against second copies: whatever happens while they are written, none is written again.
-        List<Outgoing> chosen = List.copyOf(going);
-        going.clear();
-        for (Outgoing call : chosen) {
-            if (!call.over) {
-                write(call, Math.max(0, (call.connect.cutAt - now) / 1000));
+        List<PendingCall> chosen = List.copyOf(preparedCalls);
+        preparedCalls.clear();
+        for (PendingCall call : chosen) {
+            if (!call.ended) {
+                write(call, Math.max(0, (call.attempt.timeoutAt - now) / 1000));
             }
         }
     }
 
-    private void write(Outgoing call, long budgetMs) {
-        Link link = call.link;
-        String host = Addresses.text(link.address);
-        link.expect();
-        link.channel.writeAndFlush(CallCodec.request(call.held.submission, host, budgetMs)).addListener(done -> {
+    private void write(PendingCall call, long budgetMs) {
+        Connection link = call.connection;
+        String host = Addresses.format(link.address);
+        link.expectResponse();
+        link.channel.writeAndFlush(CallCodec.encode(call.heldMail.submission, host, budgetMs)).addListener(done -> {
             link.written = done.isSuccess();
             if (!done.isSuccess()) {
                 // Closing a connection fails its unfinished write at once, in the middle of whoever closes it.
-                loop.execute(() -> unwritten(link, call));
+                loop.execute(() -> writeFailed(link, call));
             }
         });
     }
 
-    private void unwritten(Link link, Outgoing call) {
+    private void writeFailed(Connection link, PendingCall call) {
         link.close();
         end(call, new Outcome.ConnectFailed());
     }
 
-    private void cut(Outgoing call) {
-        boolean written = call.link != null && call.link.written;
-        boolean waits = staged.contains(call);
-        abandon(call);
-        end(call, relayed(call) ? new Outcome.Delivered() : written ? new Outcome.TimedOut()
+    private void timeOut(PendingCall call) {
+        boolean written = call.connection != null && call.connection.written;
+        boolean waits = stagedCalls.contains(call);
+        detach(call);
+        end(call, isRelayed(call) ? new Outcome.Delivered() : written ? new Outcome.TimedOut()
                 : waits ? new Outcome.NotSent(false) : new Outcome.ConnectFailed());
     }
 
     /** Guards against sending again what was relayed: a first line with 200 is true, whatever follows it. */
-    private static boolean relayed(Outgoing call) {
-        return call.link != null && call.link.start.status() == 200;
+    private static boolean isRelayed(PendingCall call) {
+        return call.connection != null && call.connection.statusDecoder.status() == 200;
     }
 
     /** Stops waiting for a connect; its outcome is reported in a later turn. */
-    public void revoke(Connect connect) {
-        Outgoing call = out.get(connect);
+    public void cancel(DeliveryAttempt connect) {
+        PendingCall call = inFlightCalls.get(connect);
         if (call != null) {
-            abandon(call);
-            loop.execute(() -> end(call, relayed(call) ? new Outcome.Delivered()
-                    : call.link != null && call.link.written ? new Outcome.Cancelled() : new Outcome.NotSent(false)));
+            detach(call);
+            loop.execute(() -> end(call, isRelayed(call) ? new Outcome.Delivered()
+                    : call.connection != null && call.connection.written ? new Outcome.Cancelled() : new Outcome.NotSent(false)));
         }
     }
 
-    private void abandon(Outgoing call) {
-        staged.remove(call);
-        if (call.link != null) {
-            call.link.call = null;
-            call.link.close();
+    private void detach(PendingCall call) {
+        stagedCalls.remove(call);
+        if (call.connection != null) {
+            call.connection.call = null;
+            call.connection.close();
         }
     }
 
-    private void end(Outgoing call, Outcome outcome) {
-        end(call, new CallAnswer(outcome, new double[0], outcome instanceof Outcome.Delivered, true));
+    private void end(PendingCall call, Outcome outcome) {
+        end(call, new CallResult(outcome, new double[0], outcome instanceof Outcome.Delivered, true));
     }
 
-    private void end(Outgoing call, CallAnswer answer) {
-        if (call.over) {
+    private void end(PendingCall call, CallResult answer) {
+        if (call.ended) {
             return;
         }
-        call.over = true;
-        call.cut.cancel();
-        staged.remove(call);
-        out.remove(call.connect);
-        if (call.link != null && call.link.call == call) {
-            call.link.call = null;
+        call.ended = true;
+        call.timeout.cancel();
+        stagedCalls.remove(call);
+        inFlightCalls.remove(call.attempt);
+        if (call.connection != null && call.connection.call == call) {
+            call.connection.call = null;
         }
-        long now = host.turn();
+        long now = host.iterationTime();
         Outcome outcome = answer.outcome();
-        if (outcome instanceof Outcome.Rejected full && full.pause() > 0) {
+        if (outcome instanceof Outcome.Rejected full && full.retryAfter() > 0) {
             // Guards the told wait in a long turn, as at a start: it runs from when the answer came, not from the turn.
-            outcome = new Outcome.Rejected(full.pause() + host.turnAge());
-            toldToWait(call.connect.endpoint.route, now + full.pause() + host.turnAge());
+            outcome = new Outcome.Rejected(full.retryAfter() + host.iterationAge());
+            setRetryAfter(call.attempt.endpoint.route, now + full.retryAfter() + host.iterationAge());
         }
-        host.ended(call.held, call.connect, outcome, answer.report(), answer.over());
+        host.attemptEnded(call.heldMail, call.attempt, outcome, answer.loadReport(), answer.completed());
     }
 
     /** Gives the idle connections to this endpoint back. */
-    public void release(Endpoint endpoint) {
-        Pool pool = pools.get(endpoint);
+    public void closeIdle(Endpoint endpoint) {
+        ConnectionPool pool = pools.get(endpoint);
         if (pool != null) {
-            new ArrayList<>(pool.idle).forEach(Link::close);
+            new ArrayList<>(pool.idleConnections).forEach(Connection::close);
         }
     }
 
     /** Ends every call whose bytes are not out: at a planned stop nothing new goes out. */
-    public void dropUnwritten() {
-        for (Outgoing call : new ArrayList<>(out.values())) {
-            if (call.link == null || !call.link.written) {
-                abandon(call);
+    public void dropUnsent() {
+        for (PendingCall call : new ArrayList<>(inFlightCalls.values())) {
+            if (call.connection == null || !call.connection.written) {
+                detach(call);
                 end(call, new Outcome.NotSent(false));
             }
         }
     }
 
     /** Guards the log: an endpoint that spoils many answers makes one line in a while. */
-    private void complain(Pool pool, String why) {
-        spoilt++;
-        if (host.turn() >= quietUntil) {
-            quietUntil = host.turn() + QUIET;
-            LogEvent.tell(LOG, Level.WARNING, "answer.spoilt", "answers that can't be read: {count} so far, last from {address}: {why}",
-                    "count", spoilt, "address", Addresses.text(pool.address), "why", why);
+    private void logUnreadable(ConnectionPool pool, String why) {
+        unreadableResponses++;
+        if (host.iterationTime() >= nextLogAt) {
+            nextLogAt = host.iterationTime() + LOG_INTERVAL_US;
+            LogEvent.log(LOG, Level.WARNING, "answer.spoilt", "answers that can't be read: {count} so far, last from {address}: {why}",
+                    "count", unreadableResponses, "address", Addresses.format(pool.address), "why", why);
         }
     }
 
     /** One connection. */
-    private final class Link extends SimpleChannelInboundHandler<Object> {
-        final Pool pool;
+    private final class Connection extends SimpleChannelInboundHandler<Object> {
+        final ConnectionPool pool;
         final InetSocketAddress address;
-        final AnswerStart start = new AnswerStart(this::begun);
+        final ResponseStatusDecoder statusDecoder = new ResponseStatusDecoder(this::startBodyTimeout);
         Channel channel;
-        Outgoing call;
+        PendingCall call;
         boolean written;
         private boolean keepAlive = true;
         private HttpResponseDecoder decoder;
-        private Due late;
-        private Future<?> idleEnd;
+        private DelayedTask bodyTimeout;
+        private Future<?> idleTimeout;
 
-        Link(Pool pool) {
+        Connection(ConnectionPool pool) {
             this.pool = pool;
             address = pool.address;
         }
 
         /** Whether its endpoint is listed elsewhere by now: another one may listen here. */
-        boolean leftBehind() {
+        boolean hasFormerAddress() {
             return !address.equals(pool.address);
         }
 
         /** Each answer is read by a decoder of its own: what one leaves unread can't get into the next. */
-        void expect() {
+        void expectResponse() {
             decoder = new HttpResponseDecoder();
-            channel.pipeline().addAfter(channel.pipeline().context(start).name(), null, decoder);
-            start.expect();
+            channel.pipeline().addAfter(channel.pipeline().context(statusDecoder).name(), null, decoder);
+            statusDecoder.expectResponse();
         }
 
-        private void begun() {
-            late = Due.after(loop, ANSWER_MS * 1000, () -> spoiltBy("it does not end"));
+        private void startBodyTimeout() {
+            bodyTimeout = DelayedTask.schedule(loop, RESPONSE_BODY_TIMEOUT_MS * 1000, () -> closeUnreadable("it does not end"));
         }
 
         @Override protected void channelRead0(ChannelHandlerContext ctx, Object message) {
             if (!(message instanceof FullHttpResponse response)) {
-                spoiltBy("more than belongs to it");
+                closeUnreadable("more than belongs to it");
             } else if (response.decoderResult().isFailure()) {
-                spoiltBy(response.decoderResult().cause().getMessage());
+                closeUnreadable(response.decoderResult().cause().getMessage());
             } else if (call != null) {
                 keepAlive = HttpUtil.isKeepAlive(response);
-                CallAnswer answer = codec.answer(response);
-                if (!answer.understood()) {
-                    complain(pool, "status " + response.status().code());
+                CallResult answer = codec.decode(response);
+                if (!answer.readable()) {
+                    logUnreadable(pool, "status " + response.status().code());
                 }
                 end(call, answer);
-                start.ended();
-                late.cancel();
+                statusDecoder.responseEnded();
+                bodyTimeout.cancel();
                 // What follows the answer comes out here, and closes the connection.
                 channel.pipeline().remove(decoder);
-                rest();
+                becomeIdle();
             }
         }
 
         /** The connection serves no further use. An answer counts only whole, unless its first line says 200. */
-        private void spoiltBy(String why) {
-            complain(pool, why);
+        private void closeUnreadable(String why) {
+            logUnreadable(pool, why);
             close();
-            endBroken();
+            endBrokenCall();
         }
 
-        private void endBroken() {
+        private void endBrokenCall() {
             if (call != null) {
-                end(call, relayed(call) ? new Outcome.Delivered() : written ? new Outcome.ConnectionLost()
+                end(call, isRelayed(call) ? new Outcome.Delivered() : written ? new Outcome.ConnectionLost()
                         : new Outcome.ConnectFailed());
             }
         }
 
         /** Nothing is out on the connection any more. */
-        void rest() {
+        void becomeIdle() {
             call = null;
-            if (!keepAlive || !channel.isActive() || idleLimit == 0 || pool.gone || leftBehind()) {
+            if (!keepAlive || !channel.isActive() || maxIdleConnections == 0 || pool.removed || hasFormerAddress()) {
                 close();
                 return;
             }
-            pool.idle.addLast(this);
-            idle.addLast(this);
-            if (idleFor < Long.MAX_VALUE) {
-                idleEnd = loop.schedule(this::close, idleFor, TimeUnit.MICROSECONDS);
+            pool.idleConnections.addLast(this);
+            idleConnections.addLast(this);
+            if (idleTimeoutUs < Long.MAX_VALUE) {
+                idleTimeout = loop.schedule(this::close, idleTimeoutUs, TimeUnit.MICROSECONDS);
             }
-            if (idle.size() > idleLimit) {
-                idle.peekFirst().close();
+            if (idleConnections.size() > maxIdleConnections) {
+                idleConnections.peekFirst().close();
             }
         }
 
-        void stopIdling() {
-            if (idleEnd != null) {
-                idleEnd.cancel(false);
-                idleEnd = null;
+        void cancelIdleTimeout() {
+            if (idleTimeout != null) {
+                idleTimeout.cancel(false);
+                idleTimeout = null;
             }
         }
 
         void close() {
-            stopIdling();
-            if (late != null) {
-                late.cancel();
+            cancelIdleTimeout();
+            if (bodyTimeout != null) {
+                bodyTimeout.cancel();
             }
-            pool.idle.remove(this);
-            idle.remove(this);
+            pool.idleConnections.remove(this);
+            idleConnections.remove(this);
             if (channel != null) {
                 channel.close();
             }
@@ -457,12 +457,12 @@
 
         @Override public void channelInactive(ChannelHandlerContext ctx) {
             close();
-            endBroken();
+            endBrokenCall();
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof CodecException) {
-                spoiltBy(cause.getMessage());
+                closeUnreadable(cause.getMessage());
             } else {
                 ctx.close();
             }
--- a/node/src/main/java/wrenreach/net/ClosedConnections.java
+++ b/node/src/main/java/wrenreach/net/ClosedConnections.java
@@ -14,7 +14,7 @@
 final class ClosedConnections {
     private static final System.Logger LOG = System.getLogger(ClosedConnections.class.getName());
     /** Between two lines, in microseconds. */
-    private static final long EVERY = 10_000_000;
+    private static final long LOG_INTERVAL_US = 10_000_000;
 
     /** Why a connection was closed. */
     enum Reason {
@@ -34,29 +34,29 @@
         SHUTDOWN
     }
 
-    private final Map<Reason, Integer> counts = new EnumMap<>(Reason.class);
-    private final Map<Reason, Integer> totals = new EnumMap<>(Reason.class);
-    private long nextLine;
+    private final Map<Reason, Integer> countsSinceLastLine = new EnumMap<>(Reason.class);
+    private final Map<Reason, Integer> totalCounts = new EnumMap<>(Reason.class);
+    private long nextLogAt;
 
     /** One was closed; now: microseconds of the loop's clock; unanswered: requests that were read on it and have no answer. */
     void count(Reason reason, int unanswered, long now) {
-        counts.merge(reason, 1, Integer::sum);
-        totals.merge(reason, 1, Integer::sum);
+        countsSinceLastLine.merge(reason, 1, Integer::sum);
+        totalCounts.merge(reason, 1, Integer::sum);
         if (unanswered > 0) {
-            LogEvent.tell(LOG, Level.DEBUG, "client.unanswered", "closed with {count} requests unanswered: {reason}", "count", unanswered,
+            LogEvent.log(LOG, Level.DEBUG, "client.unanswered", "closed with {count} requests unanswered: {reason}", "count", unanswered,
                     "reason", reason);
         }
-        if (now >= nextLine) {
-            nextLine = now + EVERY;
-            String told = counts.entrySet().stream().map(one -> one.getKey().name().toLowerCase(Locale.ROOT) + " " + one.getValue())
+        if (now >= nextLogAt) {
+            nextLogAt = now + LOG_INTERVAL_US;
+            String told = countsSinceLastLine.entrySet().stream().map(one -> one.getKey().name().toLowerCase(Locale.ROOT) + " " + one.getValue())
                     .collect(Collectors.joining(", "));
-            LogEvent.tell(LOG, Level.INFO, "client.closed", "client connections closed since the line before: {reasons}", "reasons", told);
-            counts.clear();
+            LogEvent.log(LOG, Level.INFO, "client.closed", "client connections closed since the line before: {reasons}", "reasons", told);
+            countsSinceLastLine.clear();
         }
     }
 
     /** How many were closed for this reason since the start. */
     int total(Reason reason) {
-        return totals.getOrDefault(reason, 0);
+        return totalCounts.getOrDefault(reason, 0);
     }
 }
--- a/node/src/main/java/wrenreach/net/Connector.java
+++ b/node/src/main/java/wrenreach/net/Connector.java
@@ -13,7 +13,7 @@
 import java.nio.channels.ClosedChannelException;
 import java.util.concurrent.Future;
 import wrenreach.log.LogEvent;
-import wrenreach.log.Ration;
+import wrenreach.log.LogRateLimiter;
 
 /**
  * Opens outgoing connections and reports what came of each on the event loop, never from within the call that asked; a failure in a
@@ -26,8 +26,8 @@
 final class Connector {
     private static final System.Logger LOG = System.getLogger(Connector.class.getName());
     /** Lines on failures of the own machine in that time, in microseconds; the rest is counted. */
-    private static final int LINES = 3;
-    private static final long WINDOW = 10_000_000;
+    private static final int MAX_LOG_LINES = 3;
+    private static final long LOG_WINDOW_US = 10_000_000;
 
     /** Told on the loop what came of one connection. */
     interface Listener {
@@ -40,7 +40,7 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final String purpose;
-    private final Ration lines = new Ration(LINES, WINDOW);
+    private final LogRateLimiter logLimiter = new LogRateLimiter(MAX_LOG_LINES, LOG_WINDOW_US);
 
     /** bootstrap: group, channels and options of the connections; purpose: what they are for, as the log names it. */
     Connector(EventLoop loop, Bootstrap bootstrap, String purpose) {
@@ -57,7 +57,7 @@
             // A connection comes up while the loop looks at its sockets: what it brings joins that iteration. A failure may come in the
             // middle of whoever closes the connection.
             if (done.isSuccess() && !overAtOnce && loop.inEventLoop()) {
-                reportNow(to, opening, listener);
+                reportInIteration(to, opening, listener);
             } else {
                 loop.execute(() -> report(to, opening, listener));
             }
@@ -67,7 +67,7 @@
     }
 
     /** What a listener of a future throws is only logged: it goes on in a task, whose throws the node is told. */
-    private void reportNow(InetSocketAddress to, Future<?> opening, Listener listener) {
+    private void reportInIteration(InetSocketAddress to, Future<?> opening, Listener listener) {
         try {
             report(to, opening, listener);
         } catch (RuntimeException | Error e) {
@@ -83,11 +83,11 @@
             listener.connected(over.channel());
             return;
         }
-        boolean ofThisMachine = isOfThisMachine(over.cause());
-        if (ofThisMachine && lines.may(loop.ticker().nanoTime() / 1000)) {
-            int unlisted = lines.leftOut();
-            LogEvent.tell(LOG, Level.WARNING, "connection.local", "{purpose}: this machine can't connect to {address}: {why}{more}", "purpose",
-                    purpose, "address", Addresses.text(to), "why", reason(over.cause()), "more",
+        boolean ofThisMachine = isLocalFailure(over.cause());
+        if (ofThisMachine && logLimiter.tryAcquire(loop.ticker().nanoTime() / 1000)) {
+            int unlisted = logLimiter.suppressed();
+            LogEvent.log(LOG, Level.WARNING, "connection.local", "{purpose}: this machine can't connect to {address}: {why}{more}", "purpose",
+                    purpose, "address", Addresses.format(to), "why", rootCauseMessage(over.cause()), "more",
                     unlisted == 0 ? "" : "; " + unlisted + " more before it are not listed");
         }
         listener.failed(ofThisMachine);
@@ -97,15 +97,15 @@
      * Refused, no route and no answer are of the other side or the way there. The rest (no descriptors, no buffers, no free port, no
      * network) is told by the own machine about itself.
      */
-    static boolean isOfThisMachine(Throwable cause) {
+    static boolean isLocalFailure(Throwable cause) {
         boolean ofTheOther = cause instanceof ConnectException || cause instanceof NoRouteToHostException
-                || cause instanceof ConnectTimeoutException || reason(cause).contains("reset");
+                || cause instanceof ConnectTimeoutException || rootCauseMessage(cause).contains("reset");
         // The node has given the connection up itself before it was there.
         boolean closedHere = cause instanceof ClosedChannelException;
         return !ofTheOther && !closedHere;
     }
 
-    private static String reason(Throwable cause) {
+    private static String rootCauseMessage(Throwable cause) {
         Throwable root = cause;
         while (root.getCause() != null) {
             root = root.getCause();
--- a/node/src/main/java/wrenreach/net/Due.java
+++ b/node/src/main/java/wrenreach/net/DelayedTask.java
@@ -10,29 +10,29 @@
  * that wakes from a stop says that nothing is ready, and the time-outs that have run out meanwhile would go first. What is
  * scheduled by a task runs after the sockets have been looked at again.
  */
-public final class Due {
+public final class DelayedTask {
     private final EventLoop loop;
-    private final Runnable work;
-    private Future<?> step;
+    private final Runnable task;
+    private Future<?> scheduled;
 
-    private Due(EventLoop loop, Runnable work) {
+    private DelayedTask(EventLoop loop, Runnable work) {
         this.loop = loop;
-        this.work = work;
+        this.task = work;
     }
 
     /** Does work on the loop after so many microseconds (at once where below 0) and one more look at the sockets. */
-    public static Due after(EventLoop loop, long delay, Runnable work) {
-        Due due = new Due(loop, work);
-        due.step = loop.schedule(due::look, delay, TimeUnit.MICROSECONDS);
+    public static DelayedTask schedule(EventLoop loop, long delay, Runnable work) {
+        DelayedTask due = new DelayedTask(loop, work);
+        due.scheduled = loop.schedule(due::runAfterNextSelect, delay, TimeUnit.MICROSECONDS);
         return due;
     }
 
-    private void look() {
-        step = loop.schedule(work, 0, TimeUnit.MICROSECONDS);
+    private void runAfterNextSelect() {
+        scheduled = loop.schedule(task, 0, TimeUnit.MICROSECONDS);
     }
 
     /** What has not been done yet never is; on the loop only. */
     public void cancel() {
-        step.cancel(false);
+        scheduled.cancel(false);
     }
 }
--- a/node/src/main/java/wrenreach/net/ListFrames.java
+++ b/node/src/main/java/wrenreach/net/ListFrameDecoder.java
@@ -14,86 +14,86 @@
  * as soon as that shows: text outside of one, a line that ends in a string, and a blank line or a new object at a line's start
  * within one, as half an object leaves them.
  */
-final class ListFrames extends ByteToMessageDecoder {
+final class ListFrameDecoder extends ByteToMessageDecoder {
     /** What has come of an object; the last piece ends it. */
-    static final class Piece extends DefaultByteBufHolder {
+    static final class Fragment extends DefaultByteBufHolder {
         final boolean last;
 
-        private Piece(ByteBuf bytes, boolean last) {
+        private Fragment(ByteBuf bytes, boolean last) {
             super(bytes);
             this.last = last;
         }
     }
 
     /** Bytes of the piece that have been looked at, and the one before them. */
-    private int seen;
-    private byte before;
+    private int scanned;
+    private byte previous;
     private int depth;
-    private boolean text;
+    private boolean inString;
     private boolean escaped;
     private boolean lineStart = true;
     /** The line holds an object's end: its own end is no blank line. */
-    private boolean ended;
+    private boolean objectEnded;
 
     @Override protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        while (seen < in.readableBytes()) {
-            byte c = in.getByte(in.readerIndex() + seen++);
+        while (scanned < in.readableBytes()) {
+            byte c = in.getByte(in.readerIndex() + scanned++);
             boolean began = lineStart;
             lineStart = c == '\n' || lineStart && (c == ' ' || c == '\t' || c == '\r');
             if (depth == 0) {
-                outside(c, in, out);
+                scanOutside(c, in, out);
             } else {
-                inside(c, began, in, out);
+                scanInside(c, began, in, out);
             }
-            before = c;
+            previous = c;
             if (!out.isEmpty()) {
                 return;
             }
         }
-        if (depth > 0 && seen > 0) {
-            out.add(new Piece(in.readRetainedSlice(seen), false));
-            seen = 0;
+        if (depth > 0 && scanned > 0) {
+            out.add(new Fragment(in.readRetainedSlice(scanned), false));
+            scanned = 0;
         }
     }
 
-    private void outside(byte c, ByteBuf in, List<Object> out) {
+    private void scanOutside(byte c, ByteBuf in, List<Object> out) {
         if (c == '{') {
             depth = 1;
-            in.skipBytes(seen - 1);
-            seen = 1;
+            in.skipBytes(scanned - 1);
+            scanned = 1;
         } else if (c == '\n') {
-            in.skipBytes(seen);
-            seen = 0;
-            if (!ended) {
-                out.add(new Piece(Unpooled.EMPTY_BUFFER, false));
+            in.skipBytes(scanned);
+            scanned = 0;
+            if (!objectEnded) {
+                out.add(new Fragment(Unpooled.EMPTY_BUFFER, false));
             }
-            ended = false;
+            objectEnded = false;
         } else if (c != ' ' && c != '\t' && c != '\r') {
-            spoilt(in, "expected an object");
+            malformed(in, "expected an object");
         }
     }
 
-    private void inside(byte c, boolean began, ByteBuf in, List<Object> out) {
-        if (c == '\n' && (text || began)) {
-            spoilt(in, text ? "a line ends in a string" : "a blank line in an object");
-        } else if (text) {
-            text = escaped || c != '"';
+    private void scanInside(byte c, boolean began, ByteBuf in, List<Object> out) {
+        if (c == '\n' && (inString || began)) {
+            malformed(in, inString ? "a line ends in a string" : "a blank line in an object");
+        } else if (inString) {
+            inString = escaped || c != '"';
             escaped = !escaped && c == '\\';
         } else if (c == '"') {
-            text = true;
+            inString = true;
         } else if (c == '{' || c == '[') {
             depth++;
-            if (c == '{' && began && before == '\n') {
-                spoilt(in, "an object begins in another");
+            if (c == '{' && began && previous == '\n') {
+                malformed(in, "an object begins in another");
             }
         } else if ((c == '}' || c == ']') && --depth == 0) {
-            out.add(new Piece(in.readRetainedSlice(seen), true));
-            seen = 0;
-            ended = true;
+            out.add(new Fragment(in.readRetainedSlice(scanned), true));
+            scanned = 0;
+            objectEnded = true;
         }
     }
 
-    private static void spoilt(ByteBuf in, String why) {
+    private static void malformed(ByteBuf in, String why) {
         in.skipBytes(in.readableBytes());
         throw new CorruptedFrameException(why);
     }
--- a/node/src/main/java/wrenreach/net/LoopFailures.java
+++ b/node/src/main/java/wrenreach/net/LoopFailures.java
@@ -15,26 +15,26 @@
  * what a task throws, says nothing of what a delayed one throws, and ends alone where it fails itself.
  */
 public final class LoopFailures {
-    private volatile Consumer<Throwable> told = thrown -> { };
+    private volatile Consumer<Throwable> handler = thrown -> { };
 
     /** Who is told, on the loop's own thread, of each task that ends by a throw and of the loop's own end by one. */
-    public void to(Consumer<Throwable> host) {
-        told = host;
+    public void setHandler(Consumer<Throwable> host) {
+        handler = host;
     }
 
-    private Runnable guarded(Runnable task) {
+    private Runnable reportingFailures(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException | Error e) {
-                tell(e);
+                reportFailure(e);
             }
         };
     }
 
-    private void tell(Throwable thrown) {
+    private void reportFailure(Throwable thrown) {
         try {
-            told.accept(thrown);
+            handler.accept(thrown);
         } catch (RuntimeException | Error e) {
             // Guards against a process that has no memory left even to be told, and so stays.
             Runtime.getRuntime().halt(1);
@@ -45,13 +45,13 @@
     MultiThreadIoEventLoopGroup group() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()) {
             @Override protected IoEventLoop newChild(Executor executor, IoHandlerFactory handlers, Object... more) {
-                return new GuardedLoop(this, executor, handlers);
+                return new ReportingLoop(this, executor, handlers);
             }
         };
     }
 
-    private final class GuardedLoop extends SingleThreadIoEventLoop {
-        GuardedLoop(MultiThreadIoEventLoopGroup group, Executor executor, IoHandlerFactory handlers) {
+    private final class ReportingLoop extends SingleThreadIoEventLoop {
+        ReportingLoop(MultiThreadIoEventLoopGroup group, Executor executor, IoHandlerFactory handlers) {
             super(group, executor, handlers);
         }
 
@@ -59,17 +59,17 @@
             try {
                 super.run();
             } catch (RuntimeException | Error e) {
-                tell(e);
+                reportFailure(e);
                 throw e;
             }
         }
 
         @Override public void execute(Runnable task) {
-            super.execute(guarded(task));
+            super.execute(reportingFailures(task));
         }
 
         @Override public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-            return super.schedule(guarded(task), delay, unit);
+            return super.schedule(reportingFailures(task), delay, unit);
         }
     }
 }
--- a/node/src/main/java/wrenreach/net/Notices.java
+++ b/node/src/main/java/wrenreach/net/Notices.java
@@ -41,50 +41,50 @@
      * The platform answers at once, and an ending has 350 ms after its mail's time. So the first patience leaves room for
      * a second post; it grows to the longest, or a slow platform would never be heard.
      */
-    private static final long ANSWER_MS = 150, LONGEST_ANSWER_MS = 1000, FIRST_PAUSE_MS = 100, LONGEST_PAUSE_MS = 400;
-    private static final int ANSWER_LIMIT = 64 * 1024;
+    private static final long RESPONSE_TIMEOUT_MS = 150, MAX_RESPONSE_TIMEOUT_MS = 1000, INITIAL_BACKOFF_MS = 100, MAX_BACKOFF_MS = 400;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     /** Notices in one post; each is far shorter than its part of a body's limit. */
-    private static final int BATCH = 200;
+    private static final int MAX_BATCH_SIZE = 200;
 
     private final EventLoop loop;
     private final Connector connector;
-    private final Consumer<HeldMail> heard;
-    private final Pauses pauses;
-    private final Set<HeldMail> untold = new LinkedHashSet<>();
+    private final Consumer<HeldMail> onAcknowledged;
+    private final Backoff backoff;
+    private final Set<HeldMail> unacknowledged = new LinkedHashSet<>();
     private InetSocketAddress address;
-    private List<HeldMail> posted = List.of();
+    private List<HeldMail> inFlight = List.of();
     private Channel channel;
-    private boolean opening;
+    private boolean connectPending;
     private boolean paused;
     /** The connection has brought an answer: if it breaks, that says nothing of the platform. */
-    private boolean kept;
+    private boolean connectionProven;
     private boolean failing;
-    private Due patience;
+    private DelayedTask responseTimeout;
 
     /** heard: told of each mail whose notice was answered; seed: of the pauses after a failure. */
     public Notices(EventLoop loop, ChannelFactory<? extends Channel> connecting, InetSocketAddress address, Consumer<HeldMail> heard,
                    long seed) {
-        this(loop, connecting, address, heard, new Pauses(FIRST_PAUSE_MS, LONGEST_PAUSE_MS, seed));
+        this(loop, connecting, address, heard, new Backoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, seed));
     }
 
     Notices(EventLoop loop, ChannelFactory<? extends Channel> connecting, InetSocketAddress address, Consumer<HeldMail> heard,
-            Pauses pauses) {
+            Backoff pauses) {
         this.loop = loop;
         connector = new Connector(loop, new Bootstrap().channelFactory(connecting)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) LONGEST_ANSWER_MS), "completion notifications");
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) MAX_RESPONSE_TIMEOUT_MS), "completion notifications");
         this.address = address;
-        this.heard = heard;
-        this.pauses = pauses;
+        this.onAcknowledged = heard;
+        this.backoff = pauses;
     }
 
     public void add(HeldMail held) {
-        untold.add(held);
+        unacknowledged.add(held);
     }
 
     /** Endings that the platform has not confirmed. */
-    public Set<HeldMail> untold() {
-        return untold;
+    public Set<HeldMail> unacknowledged() {
+        return unacknowledged;
     }
 
     /** While paused nothing is posted: what has been added may not be recorded. */
@@ -94,36 +94,36 @@
 
     /** Posts what is untold, one post at a time. */
     public void flush() {
-        if (paused || untold.isEmpty() || !posted.isEmpty() || opening) {
+        if (paused || unacknowledged.isEmpty() || !inFlight.isEmpty() || connectPending) {
             return;
         }
         if (channel == null || !channel.isActive()) {
-            open();
+            openConnection();
             return;
         }
-        posted = untold.stream().limit(BATCH).toList();
+        inFlight = unacknowledged.stream().limit(MAX_BATCH_SIZE).toList();
         DefaultFullHttpRequest post = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/v2/finals",
-                Unpooled.wrappedBuffer(body(posted)));
-        post.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
+                Unpooled.wrappedBuffer(encode(inFlight)));
+        post.headers().set(HttpHeaderNames.HOST, Addresses.format(address))
                 .set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson")
                 .set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(post.content().readableBytes()));
-        patience = Due.after(loop, 1000 * pauses.stretched(ANSWER_MS, LONGEST_ANSWER_MS), () -> broken("no answer"));
+        responseTimeout = DelayedTask.schedule(loop, 1000 * backoff.scaledTimeout(RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS), () -> postFailed("no answer"));
         channel.writeAndFlush(post);
     }
 
     /** Posts to another address; what was posted to the old one and not answered goes out there once more. */
-    public void move(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            leave();
+            dropConnection();
             flush();
         }
     }
 
-    private void leave() {
-        posted = List.of();
-        if (patience != null) {
-            patience.cancel();
+    private void dropConnection() {
+        inFlight = List.of();
+        if (responseTimeout != null) {
+            responseTimeout.cancel();
         }
         if (channel != null) {
             Channel old = channel;
@@ -132,7 +132,7 @@
         }
     }
 
-    static byte[] body(List<HeldMail> ended) {
+    static byte[] encode(List<HeldMail> ended) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
             for (HeldMail held : ended) {
@@ -153,19 +153,19 @@
         return bytes.toByteArray();
     }
 
-    private void open() {
-        opening = true;
+    private void openConnection() {
+        connectPending = true;
         InetSocketAddress to = address;
         connector.open(to, new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel fresh) {
-                fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(ANSWER_LIMIT), new Answers());
+                fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), new ResponseHandler());
             }
         }, new Connector.Listener() {
             @Override public void connected(Channel fresh) {
-                opening = false;
+                connectPending = false;
                 if (to.equals(address)) {
                     channel = fresh;
-                    kept = false;
+                    connectionProven = false;
                 } else {
                     fresh.close();
                 }
@@ -173,9 +173,9 @@
             }
 
             @Override public void failed(boolean ofThisMachine) {
-                opening = false;
+                connectPending = false;
                 if (to.equals(address)) {
-                    broken("no connection");
+                    postFailed("no connection");
                 } else {
                     flush();
                 }
@@ -184,32 +184,32 @@
     }
 
     /** Guards endings while the platform can't be reached: they stay, and go again after a short pause. */
-    private void broken(String why) {
+    private void postFailed(String why) {
         if (!failing) {
             failing = true;
-            LogEvent.tell(LOG, Level.WARNING, "notices.unanswered", "notices: {why}; {kept} kept and sent again",
-                    "why", why, "kept", untold.size());
+            LogEvent.log(LOG, Level.WARNING, "notices.unanswered", "notices: {why}; {kept} kept and sent again",
+                    "why", why, "kept", unacknowledged.size());
         }
-        leave();
-        loop.schedule(this::flush, pauses.next(), TimeUnit.MILLISECONDS);
+        dropConnection();
+        loop.schedule(this::flush, backoff.nextDelay(), TimeUnit.MILLISECONDS);
     }
 
-    private void answered(FullHttpResponse response) {
+    private void responseReceived(FullHttpResponse response) {
         if (response.status().code() != 204) {
-            broken("answer " + response.status().code());
+            postFailed("answer " + response.status().code());
             return;
         }
-        patience.cancel();
-        pauses.over();
-        kept = true;
+        responseTimeout.cancel();
+        backoff.reset();
+        connectionProven = true;
         if (failing) {
             failing = false;
-            LogEvent.tell(LOG, Level.INFO, "notices.answered", "notices: answered again");
+            LogEvent.log(LOG, Level.INFO, "notices.answered", "notices: answered again");
         }
-        List<HeldMail> told = new ArrayList<>(posted);
-        posted = List.of();
-        told.forEach(untold::remove);
-        told.forEach(heard);
+        List<HeldMail> told = new ArrayList<>(inFlight);
+        inFlight = List.of();
+        told.forEach(unacknowledged::remove);
+        told.forEach(onAcknowledged);
         if (!HttpUtil.isKeepAlive(response)) {
             channel.close();
             channel = null;
@@ -217,22 +217,22 @@
         flush();
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (ctx.channel() == channel && !posted.isEmpty()) {
-                answered(response);
+            if (ctx.channel() == channel && !inFlight.isEmpty()) {
+                responseReceived(response);
             }
         }
 
         @Override public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
                 channel = null;
-                if (!posted.isEmpty() && kept) {
+                if (!inFlight.isEmpty() && connectionProven) {
                     // Guards endings against a connection that was closed while it stood idle: a new one is made at once.
-                    leave();
+                    dropConnection();
                     flush();
-                } else if (!posted.isEmpty()) {
-                    broken("connection closed");
+                } else if (!inFlight.isEmpty()) {
+                    postFailed("connection closed");
                 }
             }
         }
--- a/node/src/main/java/wrenreach/net/UnfinishedGuard.java
+++ b/node/src/main/java/wrenreach/net/PartialRequestLimiter.java
@@ -6,29 +6,29 @@
 import io.netty.util.ReferenceCountUtil;
 
 /** Guards memory against requests that never end: it stands first and counts what has come of one that is not whole. */
-final class UnfinishedGuard extends ChannelInboundHandlerAdapter {
-    private final int limit;
-    private int unfinished;
-    private long begun;
+final class PartialRequestLimiter extends ChannelInboundHandlerAdapter {
+    private final int maxBytes;
+    private int partialBytes;
+    private long firstByteAt;
     private boolean stopped;
 
-    UnfinishedGuard(int limit) {
-        this.limit = limit;
+    PartialRequestLimiter(int limit) {
+        this.maxBytes = limit;
     }
 
     /** Whether part of a request has come. */
-    boolean midway() {
-        return unfinished > 0;
+    boolean hasPartialRequest() {
+        return partialBytes > 0;
     }
 
     /** When its first byte came; by the loop's ticker. */
-    long begun() {
-        return begun;
+    long firstByteAt() {
+        return firstByteAt;
     }
 
     /** A request came out whole. */
-    void whole() {
-        unfinished = 0;
+    void requestCompleted() {
+        partialBytes = 0;
     }
 
     /** Nothing more is read. */
@@ -41,14 +41,14 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        begun = unfinished == 0 ? ctx.executor().ticker().nanoTime() : begun;
-        unfinished += ((ByteBuf) message).readableBytes();
+        firstByteAt = partialBytes == 0 ? ctx.executor().ticker().nanoTime() : firstByteAt;
+        partialBytes += ((ByteBuf) message).readableBytes();
         ctx.fireChannelRead(message);
-        if (unfinished > limit && !stopped) {
+        if (partialBytes > maxBytes && !stopped) {
             stopped = true;
             // Past the codecs, straight to the door.
             ctx.pipeline().context(RequestDecoder.class)
-                    .fireChannelRead(new Request.Unreadable("request too large", true));
+                    .fireChannelRead(new Request.Malformed("request too large", true));
         }
     }
 }
--- a/node/src/main/java/wrenreach/net/Reply.java
+++ b/node/src/main/java/wrenreach/net/Reply.java
@@ -3,7 +3,7 @@
 /** What a client is told. */
 public sealed interface Reply {
     /** The mail is taken on. */
-    record Taken() implements Reply { }
+    record Accepted() implements Reply { }
 
     /** Not taken, handing it in again is harmless; retryAfterMs 0: no advice. */
     record Busy(long retryAfterMs) implements Reply { }
@@ -12,5 +12,5 @@
     record Pong() implements Reply { }
 
     /** Not done; close: nothing more is read from this client. */
-    record Error(String why, boolean close) implements Reply { }
+    record Error(String reason, boolean close) implements Reply { }
 }
--- a/node/src/main/java/wrenreach/net/ReplyEncoder.java
+++ b/node/src/main/java/wrenreach/net/ReplyEncoder.java
@@ -9,14 +9,14 @@
 /** Turns a reply into its RESP form, once. */
 final class ReplyEncoder extends MessageToMessageEncoder<Reply> {
     @Override protected void encode(ChannelHandlerContext ctx, Reply reply, List<Object> out) {
-        if (reply instanceof Reply.Taken) {
+        if (reply instanceof Reply.Accepted) {
             out.add(new SimpleStringRedisMessage("OK"));
         } else if (reply instanceof Reply.Pong) {
             out.add(new SimpleStringRedisMessage("PONG"));
         } else if (reply instanceof Reply.Busy busy) {
             out.add(new ErrorRedisMessage(busy.retryAfterMs() > 0 ? "BUSY " + busy.retryAfterMs() : "BUSY"));
         } else if (reply instanceof Reply.Error error) {
-            out.add(new ErrorRedisMessage("ERR " + error.why()));
+            out.add(new ErrorRedisMessage("ERR " + error.reason()));
         }
     }
 }
--- a/node/src/main/java/wrenreach/net/Asker.java
+++ b/node/src/main/java/wrenreach/net/ReplyHandle.java
@@ -1,10 +1,10 @@
 package wrenreach.net;
 
 /** Who handed in a mail and waits for the answer. */
-public interface Asker {
+public interface ReplyHandle {
     /** Whether nobody waits any more. */
     boolean abandoned();
 
     /** Sets the answer; the last one of the turn counts. */
-    void answer(Reply answer);
+    void reply(Reply answer);
 }
--- a/node/src/main/java/wrenreach/net/Request.java
+++ b/node/src/main/java/wrenreach/net/Request.java
@@ -5,11 +5,11 @@
 /** What a client asks for. */
 public sealed interface Request {
     /** Take this mail; lifetimeMs: how long it may still be delivered. */
-    record HandIn(Submission submission, long lifetimeMs) implements Request { }
+    record Submit(Submission submission, long lifetimeMs) implements Request { }
 
     /** Tell whether the node serves. */
     record Ping() implements Request { }
 
     /** Not understood; the connection is closed where what follows can't be trusted. */
-    record Unreadable(String why, boolean close) implements Request { }
+    record Malformed(String reason, boolean close) implements Request { }
 }
--- a/node/src/main/java/wrenreach/net/RequestDecoder.java
+++ b/node/src/main/java/wrenreach/net/RequestDecoder.java
@@ -15,50 +15,50 @@
 
 /** Turns a client's command into a request, once. */
 final class RequestDecoder extends MessageToMessageDecoder<RedisMessage> {
-    private static final int ID_LIMIT = 128;
+    private static final int MAX_WORD_LENGTH = 128;
 
     @Override protected void decode(ChannelHandlerContext ctx, RedisMessage message, List<Object> out) {
         if (message instanceof InlineCommandRedisMessage inline) {
             out.add(inline.content().strip().equalsIgnoreCase("PING") ? new Request.Ping()
-                    : new Request.Unreadable("expected an array of bulk strings", true));
+                    : new Request.Malformed("expected an array of bulk strings", true));
             return;
         }
         if (!(message instanceof ArrayRedisMessage array) || array.isNull()) {
-            out.add(new Request.Unreadable("expected an array of bulk strings", true));
+            out.add(new Request.Malformed("expected an array of bulk strings", true));
             return;
         }
         List<ByteBuf> words = new ArrayList<>(array.children().size());
         for (RedisMessage child : array.children()) {
             if (!(child instanceof FullBulkStringRedisMessage bulk) || bulk.isNull()) {
-                out.add(new Request.Unreadable("expected an array of bulk strings", true));
+                out.add(new Request.Malformed("expected an array of bulk strings", true));
                 return;
             }
             words.add(bulk.content());
         }
-        out.add(request(words));
+        out.add(parse(words));
     }
 
-    static Request request(List<ByteBuf> words) {
-        String command = words.isEmpty() ? "" : text(words.get(0));
+    static Request parse(List<ByteBuf> words) {
+        String command = words.isEmpty() ? "" : decodeText(words.get(0));
         if (command.equalsIgnoreCase("PING")) {
             return new Request.Ping();
         }
         if (!command.equalsIgnoreCase("ENQUEUE")) {
-            return new Request.Unreadable("unknown command", false);
+            return new Request.Malformed("unknown command", false);
         }
         if (words.size() != 5) {
-            return new Request.Unreadable("ENQUEUE takes a key, an id, fields and a body", false);
+            return new Request.Malformed("ENQUEUE takes a key, an id, fields and a body", false);
         }
-        String key = text(words.get(1));
-        String id = text(words.get(2));
-        if (!isWord(id) || !isWord(key)) {
-            return new Request.Unreadable("malformed key or id", false);
+        String key = decodeText(words.get(1));
+        String id = decodeText(words.get(2));
+        if (!isPrintableWord(id) || !isPrintableWord(key)) {
+            return new Request.Malformed("malformed key or id", false);
         }
-        return handIn(key.chars().allMatch(c -> c == '0') ? "" : key, id, text(words.get(3)),
+        return parseSubmission(key.chars().allMatch(c -> c == '0') ? "" : key, id, decodeText(words.get(3)),
                 ByteBufUtil.getBytes(words.get(4)));
     }
 
-    private static Request handIn(String key, String id, String fields, byte[] body) {
+    private static Request parseSubmission(String key, String id, String fields, byte[] body) {
         String queueClass = "", tenant = "", tag = "";
         long lifetime = -1, destination = -1;
         for (String field : fields.split(",")) {
@@ -67,26 +67,26 @@
             switch (equals < 0 ? "" : field.substring(0, equals)) {
                 case "c" -> queueClass = value;
                 case "t" -> tenant = value;
-                case "d" -> lifetime = number(value);
-                case "dest" -> destination = number(value);
+                case "d" -> lifetime = parseNumber(value);
+                case "dest" -> destination = parseNumber(value);
                 case "k" -> tag = value;
                 default -> { } // A name of a later protocol, or a mark that the decisions don't use.
             }
         }
         if (lifetime < 0 || destination < 0 || destination > Integer.MAX_VALUE
-                || !tag.isEmpty() && !isWord(tag)) {
-            return new Request.Unreadable("malformed fields", false);
+                || !tag.isEmpty() && !isPrintableWord(tag)) {
+            return new Request.Malformed("malformed fields", false);
         }
-        return new Request.HandIn(
+        return new Request.Submit(
                 new Submission(id, key, queueClass, tenant, tag, (int) destination, body), lifetime);
     }
 
     /** Guards the headers that ids travel in: a word of printable ASCII only. */
-    private static boolean isWord(String text) {
-        return !text.isEmpty() && text.length() <= ID_LIMIT && text.chars().allMatch(c -> c > ' ' && c < 127);
+    private static boolean isPrintableWord(String text) {
+        return !text.isEmpty() && text.length() <= MAX_WORD_LENGTH && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
 
-    private static long number(String text) {
+    private static long parseNumber(String text) {
         try {
             return text.length() > 15 ? -1 : Long.parseLong(text);
         } catch (NumberFormatException e) {
@@ -94,7 +94,7 @@
         }
     }
 
-    private static String text(ByteBuf bytes) {
+    private static String decodeText(ByteBuf bytes) {
         return bytes.toString(StandardCharsets.ISO_8859_1);
     }
 }
--- a/node/src/main/java/wrenreach/net/SizeGuard.java
+++ b/node/src/main/java/wrenreach/net/RequestSizeLimiter.java
@@ -7,27 +7,27 @@
 import io.netty.util.ReferenceCountUtil;
 
 /** Guards memory against a client that announces more than a request may hold; it stands before the aggregators. */
-final class SizeGuard extends ChannelInboundHandlerAdapter {
-    static final int WORDS = 16;
+final class RequestSizeLimiter extends ChannelInboundHandlerAdapter {
+    static final int MAX_WORDS = 16;
 
-    private final int bodyLimit;
-    private boolean refused;
+    private final int maxBodyBytes;
+    private boolean rejected;
 
-    SizeGuard(int bodyLimit) {
-        this.bodyLimit = bodyLimit;
+    RequestSizeLimiter(int bodyLimit) {
+        this.maxBodyBytes = bodyLimit;
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
-        boolean large = message instanceof BulkStringHeaderRedisMessage bulk && bulk.bulkStringLength() > bodyLimit
-                || message instanceof ArrayHeaderRedisMessage array && array.length() > WORDS;
-        if (refused) {
+        boolean large = message instanceof BulkStringHeaderRedisMessage bulk && bulk.bulkStringLength() > maxBodyBytes
+                || message instanceof ArrayHeaderRedisMessage array && array.length() > MAX_WORDS;
+        if (rejected) {
             ReferenceCountUtil.release(message);
         } else if (large) {
-            refused = true;
+            rejected = true;
             ReferenceCountUtil.release(message);
             // Past the aggregators, straight to the door.
             ctx.pipeline().context(RequestDecoder.class)
-                    .fireChannelRead(new Request.Unreadable("request too large", true));
+                    .fireChannelRead(new Request.Malformed("request too large", true));
         } else {
             ctx.fireChannelRead(message);
         }
--- a/node/src/main/java/wrenreach/net/AnswerStart.java
+++ b/node/src/main/java/wrenreach/net/ResponseStatusDecoder.java
@@ -14,33 +14,33 @@
  * Stands before the HTTP codec of a call: tells an answer's status as soon as its first line is whole, as that holds
  * whatever follows; leaves out interim answers (1xx); and finds fault with bytes that no call waits for.
  */
-final class AnswerStart extends ByteToMessageDecoder {
-    private static final Pattern FIRST_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})( .*)?");
+final class ResponseStatusDecoder extends ByteToMessageDecoder {
+    private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})( .*)?");
     /** What may come before an answer's first line is whole, interim answers included. */
-    private static final int START_LIMIT = 16 * 1024;
+    private static final int MAX_START_BYTES = 16 * 1024;
 
-    private enum At { UNASKED, FIRST_LINE, INTERIM, REST }
+    private enum State { NONE_EXPECTED, STATUS_LINE, INTERIM_HEADERS, PASS_THROUGH }
 
-    private final Runnable begun;
-    private At at = At.UNASKED;
-    private int seen;
+    private final Runnable onStatusLine;
+    private State state = State.NONE_EXPECTED;
+    private int bytesSeen;
     private int status;
 
     /** begun: run when an answer's first line is there. */
-    AnswerStart(Runnable begun) {
-        this.begun = begun;
+    ResponseStatusDecoder(Runnable begun) {
+        this.onStatusLine = begun;
     }
 
     /** A call goes out: an answer may come. */
-    void expect() {
-        at = At.FIRST_LINE;
+    void expectResponse() {
+        state = State.STATUS_LINE;
         status = 0;
-        seen = 0;
+        bytesSeen = 0;
     }
 
     /** The answer has ended; nothing more belongs to it, and it says nothing of the next call on its connection. */
-    void ended() {
-        at = At.UNASKED;
+    void responseEnded() {
+        state = State.NONE_EXPECTED;
         status = 0;
     }
 
@@ -50,31 +50,31 @@
     }
 
     @Override protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (at == At.REST) {
+        if (state == State.PASS_THROUGH) {
             out.add(in.readRetainedSlice(in.readableBytes()));
             return;
         }
-        if (at == At.UNASKED) {
+        if (state == State.NONE_EXPECTED) {
             in.skipBytes(in.readableBytes());
             throw new CorruptedFrameException("bytes that belong to no answer");
         }
         int length = in.bytesBefore((byte) '\n');
-        if (seen + (length < 0 ? in.readableBytes() : length) > START_LIMIT) {
+        if (bytesSeen + (length < 0 ? in.readableBytes() : length) > MAX_START_BYTES) {
             in.skipBytes(in.readableBytes());
             throw new TooLongFrameException("an answer's first line does not end");
         }
         if (length < 0) {
             return;
         }
-        seen += length + 1;
+        bytesSeen += length + 1;
         int start = in.readerIndex();
         String line = in.toString(start, length, StandardCharsets.ISO_8859_1).stripTrailing();
-        if (at == At.INTERIM) {
+        if (state == State.INTERIM_HEADERS) {
             in.skipBytes(length + 1);
-            at = line.isEmpty() ? At.FIRST_LINE : At.INTERIM;
+            state = line.isEmpty() ? State.STATUS_LINE : State.INTERIM_HEADERS;
             return;
         }
-        Matcher matcher = FIRST_LINE.matcher(line);
+        Matcher matcher = STATUS_LINE.matcher(line);
         if (!matcher.matches()) {
             in.skipBytes(in.readableBytes());
             throw new CorruptedFrameException("no first line of an answer");
@@ -82,11 +82,11 @@
         int code = Integer.parseInt(matcher.group(1));
         if (code < 200) {
             in.skipBytes(length + 1);
-            at = At.INTERIM;
+            state = State.INTERIM_HEADERS;
         } else {
             status = code;
-            at = At.REST;
-            begun.run();
+            state = State.PASS_THROUGH;
+            onStatusLine.run();
             out.add(in.readRetainedSlice(in.readableBytes()));
         }
     }
--- a/node/src/main/java/wrenreach/net/PacedReads.java
+++ b/node/src/main/java/wrenreach/net/TimedReadAllocator.java
@@ -9,43 +9,43 @@
  * next, so none of them waits for all of a long list. It aims at 2 ms a piece; the first ones of a process, and what ends a
  * list, take longer (docs/CAPACITY.md).
  */
-final class PacedReads extends DefaultMaxMessagesRecvByteBufAllocator {
-    private static final int LEAST = 1 << 10, MOST = 32 << 10;
+final class TimedReadAllocator extends DefaultMaxMessagesRecvByteBufAllocator {
+    private static final int MIN_READ_BYTES = 1 << 10, MAX_READ_BYTES = 32 << 10;
     /** Nanoseconds that one piece may take: more halves the next one, under half of it doubles it. */
-    private static final long GOAL = 2_000_000;
+    private static final long MAX_PROCESSING_NANOS = 2_000_000;
 
     private final Ticker ticker;
 
-    PacedReads(Ticker ticker) {
+    TimedReadAllocator(Ticker ticker) {
         super(1);
         this.ticker = ticker;
     }
 
     @Override public Handle newHandle() {
-        return new Paced();
+        return new TimedHandle();
     }
 
-    private final class Paced extends MaxMessageHandle {
-        private int size = LEAST;
-        private long readAt;
-        private boolean filled;
+    private final class TimedHandle extends MaxMessageHandle {
+        private int nextReadBytes = MIN_READ_BYTES;
+        private long readAtNanos;
+        private boolean bufferFilled;
 
         @Override public int guess() {
-            return size;
+            return nextReadBytes;
         }
 
         @Override public void lastBytesRead(int bytes) {
             super.lastBytesRead(bytes);
-            readAt = ticker.nanoTime();
-            filled = bytes == attemptedBytesRead();
+            readAtNanos = ticker.nanoTime();
+            bufferFilled = bytes == attemptedBytesRead();
         }
 
         @Override public void readComplete() {
-            long took = ticker.nanoTime() - readAt;
-            if (took > GOAL) {
-                size = Math.max(LEAST, size / 2);
-            } else if (filled && took < GOAL / 2) {
-                size = Math.min(MOST, 2 * size);
+            long took = ticker.nanoTime() - readAtNanos;
+            if (took > MAX_PROCESSING_NANOS) {
+                nextReadBytes = Math.max(MIN_READ_BYTES, nextReadBytes / 2);
+            } else if (bufferFilled && took < MAX_PROCESSING_NANOS / 2) {
+                nextReadBytes = Math.min(MAX_READ_BYTES, 2 * nextReadBytes);
             }
         }
     }
--- a/node/src/main/java/wrenreach/node/Clock.java
+++ b/node/src/main/java/wrenreach/node/Clock.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import wrenreach.held.HeldMail;
 import wrenreach.held.Ledger;
-import wrenreach.held.PastConnect;
+import wrenreach.held.RecordedAttempt;
 import wrenreach.held.TimeBase;
 import wrenreach.log.LogEvent;
 import wrenreach.net.MachineClocks;
@@ -17,15 +17,15 @@
 final class Clock {
     private static final System.Logger LOG = System.getLogger(Clock.class.getName());
     /** A difference that is no step: the wall clock is steered all the time. */
-    private static final long STEP = 1_000_000;
+    private static final long MIN_STEP_MICROS = 1_000_000;
 
     private final Ticker ticker;
-    private final long tickerOffset;
+    private final long tickerOffsetMicros;
     private final boolean continued;
 
     private Clock(Ticker ticker, long tickerOffset, boolean continued) {
         this.ticker = ticker;
-        this.tickerOffset = tickerOffset;
+        this.tickerOffsetMicros = tickerOffset;
         this.continued = continued;
     }
 
@@ -37,8 +37,8 @@
         long monotonic = machine.monotonicNanos().getAsLong() / 1000;
         TimeBase fresh = new TimeBase(machine.boot(), 1000 * machine.wallMillis().getAsLong() - monotonic);
         Optional<TimeBase> before = ledger.timeBase().filter(base -> !base.boot().isEmpty() && base.boot().equals(fresh.boot())
-                && possible(ledger, monotonic + base.offset(), longestSpan));
-        before.filter(base -> Math.abs(base.offset() - fresh.offset()) > STEP).ifPresent(base -> LogEvent.tell(LOG, Level.WARNING, "clock.stepped",
+                && recordsArePlausible(ledger, monotonic + base.offset(), longestSpan));
+        before.filter(base -> Math.abs(base.offset() - fresh.offset()) > MIN_STEP_MICROS).ifPresent(base -> LogEvent.log(LOG, Level.WARNING, "clock.stepped",
                 "the wall clock has been stepped by {seconds} s since the first start in this boot of the machine: times go by its monotonic clock",
                 "seconds", (fresh.offset() - base.offset()) / 1_000_000));
         TimeBase base = before.orElse(fresh);
@@ -48,9 +48,9 @@
     }
 
     /** Whether the records can be of a clock that shows this time: a monotonic clock that was set back knows times to come. */
-    private static boolean possible(Ledger ledger, long now, long longestSpan) {
-        for (HeldMail message : ledger.owed()) {
-            if (message.endsBy > now + longestSpan || message.connects.stream().mapToLong(PastConnect::sentAt).anyMatch(at -> at > now)) {
+    private static boolean recordsArePlausible(Ledger ledger, long now, long longestSpan) {
+        for (HeldMail message : ledger.outstanding()) {
+            if (message.deadline > now + longestSpan || message.attempts.stream().mapToLong(RecordedAttempt::sentAt).anyMatch(at -> at > now)) {
                 return false;
             }
         }
@@ -63,6 +63,6 @@
     }
 
     long now() {
-        return tickerOffset + ticker.nanoTime() / 1000;
+        return tickerOffsetMicros + ticker.nanoTime() / 1000;
     }
 }
--- a/node/src/main/java/wrenreach/node/Config.java
+++ b/node/src/main/java/wrenreach/node/Config.java
@@ -27,10 +27,10 @@
                      long memoryBytes, long diskBytes, EndpointTable known, Settings settings, List<String> queueClasses,
                      List<String> tenants, List<String> kinds, List<String> zones, List<String> reportNames) {
     /** The config can't be used; the message is for the one who starts the node. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String message) {
+        InvalidConfigException(String message) {
             super(message);
         }
     }
@@ -39,34 +39,34 @@
      * One part in so many of the memory is for the list of endpoints, and of the heap: beside it stands what is being put in
      * its place, at most as much again, and all else that a node needs.
      */
-    private static final int LIST_PART_OF_MEMORY = 8, LIST_PART_OF_HEAP = 2;
+    private static final int LIST_MEMORY_DIVISOR = 8, LIST_HEAP_DIVISOR = 2;
 
-    private static final String KNOWN = "known";
+    private static final String KNOWN_FIELD = "known";
     // A protocol that carries one mail a call has no calls of several: kinds are read as if they allowed one.
-    private static final String BATCH = "FamilyInfo.BatchByKind";
+    private static final String BATCH_SETTING = "FamilyInfo.BatchByKind";
 
     /**
      * Reads the file; environment: GW_LISTEN there goes before the file's. GW_DISCOVERY only stands in where the file
      * names no address: the file can be replaced while the node runs, and is then the newer of the two.
      */
-    public static Config read(Path file, Map<String, String> environment) throws Unusable {
+    public static Config read(Path file, Map<String, String> environment) throws InvalidConfigException {
         try {
             return parse(() -> Files.newInputStream(file), environment);
         } catch (IOException | IllegalArgumentException e) {
-            throw new Unusable("config " + file + ": " + why(e));
+            throw new InvalidConfigException("config " + file + ": " + problem(e));
         }
     }
 
     /** What a config that is read again may change: the address of discovery. */
-    static InetSocketAddress discovery(Reload.Source json) throws Reload.Unusable {
+    static InetSocketAddress discovery(Reload.Source json) throws Reload.RejectedFileException {
         try {
-            return Addresses.parse(needed(flat(json, Map.of()), "discovery"));
+            return Addresses.parse(required(readFlat(json, Map.of()), "discovery"));
         } catch (IOException | IllegalArgumentException e) {
-            throw new Reload.Unusable(why(e));
+            throw new Reload.RejectedFileException(problem(e));
         }
     }
 
-    private static String why(Exception e) {
+    private static String problem(Exception e) {
         String why = e instanceof NoSuchFileException ? "no such file" : e.getMessage();
         return String.valueOf(why).lines().findFirst().orElse("");
     }
@@ -77,17 +77,17 @@
 
     /** Reads twice, and never holds what it has read: the room that the list may take is told behind it. */
     private static Config parse(Reload.Source json, Map<String, String> environment) throws IOException {
-        Map<String, String> flat = flat(json, environment);
-        long memory = (long) (1_000_000 * number(flat, "limits.memory_mb"));
-        EndpointTable known = new EndpointTable(Math.min(memory / LIST_PART_OF_MEMORY,
-                Runtime.getRuntime().maxMemory() / LIST_PART_OF_HEAP), "an eighth of limits.memory_mb, and half of the heap");
-        if (flat.containsKey(KNOWN)) {
+        Map<String, String> flat = readFlat(json, environment);
+        long memory = (long) (1_000_000 * positiveNumber(flat, "limits.memory_mb"));
+        EndpointTable known = new EndpointTable(Math.min(memory / LIST_MEMORY_DIVISOR,
+                Runtime.getRuntime().maxMemory() / LIST_HEAP_DIVISOR), "an eighth of limits.memory_mb, and half of the heap");
+        if (flat.containsKey(KNOWN_FIELD)) {
             try (JsonParser in = new JsonFactory().createParser(json.open())) {
                 in.nextToken();
                 while (in.nextToken() != JsonToken.END_OBJECT) {
                     String field = in.currentName();
                     in.nextToken();
-                    if (field.equals(KNOWN)) {
+                    if (field.equals(KNOWN_FIELD)) {
                         known(in, known);
                     } else {
                         in.skipChildren();
@@ -97,7 +97,7 @@
         }
         Map<String, String> settings = new LinkedHashMap<>();
         flat.forEach((path, value) -> {
-            if (path.startsWith("settings.") && !path.equals("settings." + BATCH)) {
+            if (path.startsWith("settings.") && !path.equals("settings." + BATCH_SETTING)) {
                 settings.put(path.substring("settings.".length()), value);
             }
         });
@@ -105,12 +105,12 @@
         settings.forEach((path, value) -> text.append(path).append('=').append(value).append('\n'));
         long seed = Long.parseUnsignedLong(flat.getOrDefault("seed", "0"), 16);
         return new Config(flat.getOrDefault("name", "node"),
-                Addresses.parse(environment.getOrDefault("GW_LISTEN", needed(flat, "listen"))),
-                Addresses.parse(needed(flat, "discovery")),
-                (int) number(flat, "limits.sockets"), memory,
-                (long) (1_000_000 * number(flat, "limits.disk_mb")), known,
+                Addresses.parse(environment.getOrDefault("GW_LISTEN", required(flat, "listen"))),
+                Addresses.parse(required(flat, "discovery")),
+                (int) positiveNumber(flat, "limits.sockets"), memory,
+                (long) (1_000_000 * positiveNumber(flat, "limits.disk_mb")), known,
                 SettingsText.read(text.toString(), seed), names(settings, "Classes"), names(settings, "Tenants"),
-                list(settings, "Kinds"), list(settings, "Areas"), list(settings, "Feedback.Names"));
+                splitList(settings, "Kinds"), splitList(settings, "Areas"), splitList(settings, "Feedback.Names"));
     }
 
     private static void known(JsonParser in, EndpointTable known) throws IOException {
@@ -122,7 +122,7 @@
     }
 
     /** All plain values by their path, but for the list of endpoints, which is only passed over. */
-    private static Map<String, String> flat(Reload.Source json, Map<String, String> environment) throws IOException {
+    private static Map<String, String> readFlat(Reload.Source json, Map<String, String> environment) throws IOException {
         Map<String, String> flat = new LinkedHashMap<>();
         try (JsonParser in = new JsonFactory().createParser(json.open())) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -131,8 +131,8 @@
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String field = in.currentName();
                 in.nextToken();
-                if (field.equals(KNOWN)) {
-                    flat.put(KNOWN, "");
+                if (field.equals(KNOWN_FIELD)) {
+                    flat.put(KNOWN_FIELD, "");
                     in.skipChildren();
                 } else {
                     flatten(in, field, flat);
@@ -172,7 +172,7 @@
         }
     }
 
-    private static String needed(Map<String, String> flat, String path) {
+    private static String required(Map<String, String> flat, String path) {
         String value = flat.get(path);
         if (value == null) {
             throw new IllegalArgumentException(path + " is missing");
@@ -180,8 +180,8 @@
         return value;
     }
 
-    private static double number(Map<String, String> flat, String path) {
-        double value = Double.parseDouble(needed(flat, path));
+    private static double positiveNumber(Map<String, String> flat, String path) {
+        double value = Double.parseDouble(required(flat, path));
         if (!(value > 0)) {
             throw new IllegalArgumentException(path + " is not above 0");
         }
@@ -197,7 +197,7 @@
         return names;
     }
 
-    private static List<String> list(Map<String, String> settings, String path) {
+    private static List<String> splitList(Map<String, String> settings, String path) {
         String joined = settings.getOrDefault(path, "");
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
