--- a/relay/src/main/java/wrenreach/relay/Way.java
+++ b/relay/src/main/java/wrenreach/relay/LinkDirection.java
@@ -9,29 +9,29 @@
  * summed, the least rate holds, a share is that of any of them striking. One thread's; the chances handed in are from 0 to
  * below 1.
  */
-public final class Way {
+public final class LinkDirection {
     private static final double MS = 1_000_000, SECOND = 1_000_000_000;
 
-    private final List<Trouble> troubles = new ArrayList<>(1);
-    private boolean halved;
+    private final List<Impairment> troubles = new ArrayList<>(1);
+    private boolean isTruncating;
 
     /** From now on this is wrong too. */
-    public void begin(Trouble trouble) {
+    public void begin(Impairment trouble) {
         troubles.add(trouble);
     }
 
     /** This one is over; what is equal to it and still goes on stays. */
-    public void end(Trouble trouble) {
+    public void end(Impairment trouble) {
         troubles.remove(trouble);
-        halved &= has(Trouble.Kind.HALF);
+        isTruncating &= has(Impairment.Kind.HALF);
     }
 
-    public boolean sound() {
+    public boolean isHealthy() {
         return troubles.isEmpty();
     }
 
-    private boolean has(Trouble.Kind kind) {
-        for (Trouble trouble : troubles) {
+    private boolean has(Impairment.Kind kind) {
+        for (Impairment trouble : troubles) {
             if (trouble.kind() == kind) {
                 return true;
             }
@@ -39,33 +39,33 @@
         return false;
     }
 
-    public boolean cut() {
-        return has(Trouble.Kind.CUT);
+    public boolean isCut() {
+        return has(Impairment.Kind.CUT);
     }
 
     public boolean refuses() {
-        return has(Trouble.Kind.REFUSE);
+        return has(Impairment.Kind.REFUSE);
     }
 
     /** Whether half a piece has gone through and nothing follows it. */
-    public boolean halved() {
-        return halved;
+    public boolean isTruncating() {
+        return isTruncating;
     }
 
     /** How much of a piece of so many bytes goes through before nothing does: all of it where no half is wanted. */
-    public int passes(int bytes) {
-        if (halved || !has(Trouble.Kind.HALF)) {
+    public int passedBytes(int bytes) {
+        if (isTruncating || !has(Impairment.Kind.HALF)) {
             return bytes;
         }
-        halved = true;
+        isTruncating = true;
         return bytes / 2;
     }
 
     /** How much later than without troubles something comes that is sent now, in nanoseconds. */
-    public long delay(DoubleSupplier chance) {
+    public long delayNanos(DoubleSupplier chance) {
         double delay = 0;
-        for (Trouble trouble : troubles) {
-            if (trouble.kind() == Trouble.Kind.DELAY) {
+        for (Impairment trouble : troubles) {
+            if (trouble.kind() == Impairment.Kind.DELAY) {
                 delay += MS * (trouble.figure() + trouble.more() * chance.getAsDouble());
             }
         }
@@ -73,10 +73,10 @@
     }
 
     /** The time that so many bytes take, in nanoseconds. */
-    public long takes(int bytes) {
+    public long transferNanos(int bytes) {
         double longest = 0;
-        for (Trouble trouble : troubles) {
-            if (trouble.kind() == Trouble.Kind.RATE) {
+        for (Impairment trouble : troubles) {
+            if (trouble.kind() == Impairment.Kind.RATE) {
                 longest = Math.max(longest, SECOND * bytes / trouble.figure());
             }
         }
@@ -85,20 +85,20 @@
 
     /** How often a datagram sent now arrives: 0 to 2 times. */
     public int copies(DoubleSupplier chance) {
-        boolean lost = cut() || halved;
+        boolean lost = isCut() || isTruncating;
         boolean doubled = false;
-        for (Trouble trouble : troubles) {
-            lost |= trouble.kind() == Trouble.Kind.LOSS && chance.getAsDouble() < trouble.figure();
-            doubled |= trouble.kind() == Trouble.Kind.DOUBLING && chance.getAsDouble() < trouble.figure();
+        for (Impairment trouble : troubles) {
+            lost |= trouble.kind() == Impairment.Kind.LOSS && chance.getAsDouble() < trouble.figure();
+            doubled |= trouble.kind() == Impairment.Kind.DOUBLING && chance.getAsDouble() < trouble.figure();
         }
         return lost ? 0 : doubled ? 2 : 1;
     }
 
     /** How much later a datagram comes because others overtake it, in nanoseconds. */
-    public long overtaken(DoubleSupplier chance) {
+    public long reorderingDelayNanos(DoubleSupplier chance) {
         double late = 0;
-        for (Trouble trouble : troubles) {
-            if (trouble.kind() == Trouble.Kind.REORDERING && chance.getAsDouble() < trouble.figure()) {
+        for (Impairment trouble : troubles) {
+            if (trouble.kind() == Impairment.Kind.REORDERING && chance.getAsDouble() < trouble.figure()) {
                 late += MS * trouble.more() * chance.getAsDouble();
             }
         }
--- a/relay/src/main/java/wrenreach/relay/TcpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/TcpRelay.java
@@ -37,7 +37,7 @@
  */
 public final class TcpRelay {
     /** Bytes of one way of one connection that are read before they may go on. */
-    public static final int HELD = 1 << 20;
+    public static final int BUFFER_BYTES = 1 << 20;
     private static final int CONNECT_MS = 1000, FILLS = 4, TRIES = 400;
     private static final long TRY_AGAIN = 5_000_000;
 
@@ -47,8 +47,8 @@
     private final InetSocketAddress at;
     private final InetSocketAddress own;
     private final InetSocketAddress to;
-    private final Way there;
-    private final Way back;
+    private final LinkDirection there;
+    private final LinkDirection back;
     private final DoubleSupplier chance;
     private final Consumer<String> failed;
     private final Set<Pair> pairs = new LinkedHashSet<>();
@@ -66,7 +66,7 @@
      * at: where it listens; own: the address that it comes from, so that the other side can tell who asks (port 0); to: where
      * it leads; failed: told in one line of what the machine refuses.
      */
-    public TcpRelay(EventLoop loop, InetSocketAddress at, InetSocketAddress own, InetSocketAddress to, Way there, Way back,
+    public TcpRelay(EventLoop loop, InetSocketAddress at, InetSocketAddress own, InetSocketAddress to, LinkDirection there, LinkDirection back,
                     DoubleSupplier chance, Consumer<String> failed) {
         this.loop = loop;
         this.at = at;
@@ -95,7 +95,7 @@
     }
 
     /** It is gone with all its connections, which are reset; nobody listens. */
-    public void die() {
+    public void stop() {
         dead = true;
         reset();
         changed();
@@ -135,7 +135,7 @@
         if (dead || !targetUp || there.refuses() || back.refuses()) {
             return Mode.CLOSED;
         }
-        return there.cut() || back.cut() ? Mode.WALL : Mode.OPEN;
+        return there.isCut() || back.isCut() ? Mode.WALL : Mode.OPEN;
     }
 
     /** Closes what listens and opens what shall; what is wanted may change meanwhile. */
@@ -288,7 +288,7 @@
         private record Piece(ByteBuf bytes, long at, boolean first) { }
 
         private final Pair pair;
-        private final Way way;
+        private final LinkDirection way;
         private final Deque<Piece> line = new ArrayDeque<>();
         private Channel from;
         private Channel to;
@@ -296,7 +296,7 @@
         private int held;
         private boolean waits;
 
-        Pump(Pair pair, Way way) {
+        Pump(Pair pair, LinkDirection way) {
             this.pair = pair;
             this.way = way;
         }
@@ -304,21 +304,21 @@
         @Override public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             int size = bytes.readableBytes();
-            int passes = way.passes(size);
+            int passes = way.passedBytes(size);
             if (passes < size) {
                 add(bytes.readRetainedSlice(passes), true);
             }
             add(bytes, false);
             held += size;
-            if (held > HELD) {
+            if (held > BUFFER_BYTES) {
                 context.channel().config().setAutoRead(false);
             }
             drain();
         }
 
         private void add(ByteBuf bytes, boolean first) {
-            long begins = Math.max(System.nanoTime() + way.delay(chance), last);
-            last = begins + (bytes == null ? 0 : way.takes(bytes.readableBytes()));
+            long begins = Math.max(System.nanoTime() + way.delayNanos(chance), last);
+            last = begins + (bytes == null ? 0 : way.transferNanos(bytes.readableBytes()));
             line.addLast(new Piece(bytes, last, first));
         }
 
@@ -331,7 +331,7 @@
 
         @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             // The party's side was reset: so is the other, but not across a cut.
-            if (!way.cut()) {
+            if (!way.isCut()) {
                 pair.reset();
             }
         }
@@ -342,7 +342,7 @@
             while (to != null && !line.isEmpty()) {
                 Piece next = line.peekFirst();
                 long early = next.at - System.nanoTime();
-                if (way.cut() || way.halved() && !next.first) {
+                if (way.isCut() || way.isTruncating() && !next.first) {
                     break;
                 }
                 if (early > 0) {
@@ -362,7 +362,7 @@
             if (wrote) {
                 to.flush();
             }
-            if (held < HELD / 2 && from != null && to != null && !from.config().isAutoRead()) {
+            if (held < BUFFER_BYTES / 2 && from != null && to != null && !from.config().isAutoRead()) {
                 from.config().setAutoRead(true);
             }
         }
--- a/relay/src/main/java/wrenreach/relay/UdpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/UdpRelay.java
@@ -21,7 +21,7 @@
  */
 public final class UdpRelay {
     /** Datagrams of both ways that are held at once. */
-    public static final int UNDER_WAY = 4096;
+    public static final int MAX_QUEUED_DATAGRAMS = 4096;
     private static final int LONGEST = 65_535;
 
     /** One party: where it is, and the address by which it knows the other. */
@@ -30,8 +30,8 @@
     private final EventLoop loop;
     private final Side a;
     private final Side b;
-    private final Way there;
-    private final Way back;
+    private final LinkDirection there;
+    private final LinkDirection back;
     private final DoubleSupplier chance;
     private Channel atA;
     private Channel atB;
@@ -40,7 +40,7 @@
     private long lost;
 
     /** there: from a to b. */
-    public UdpRelay(EventLoop loop, Side a, Side b, Way there, Way back, DoubleSupplier chance) {
+    public UdpRelay(EventLoop loop, Side a, Side b, LinkDirection there, LinkDirection back, DoubleSupplier chance) {
         this.loop = loop;
         this.a = a;
         this.b = b;
@@ -59,7 +59,7 @@
     }
 
     /** It is gone: what comes to its addresses is lost. */
-    public void die() {
+    public void stop() {
         atA.close();
         atB.close();
     }
@@ -73,7 +73,7 @@
         return lost;
     }
 
-    private ChannelFuture bind(Side from, Way way, Side to) {
+    private ChannelFuture bind(Side from, LinkDirection way, Side to) {
         return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
@@ -90,12 +90,12 @@
                 }).bind(from.knows);
     }
 
-    private void pass(DatagramPacket packet, Way way, Side to) {
-        int copies = underWay >= UNDER_WAY ? 0 : way.copies(chance);
+    private void pass(DatagramPacket packet, LinkDirection way, Side to) {
+        int copies = underWay >= MAX_QUEUED_DATAGRAMS ? 0 : way.copies(chance);
         lost += copies == 0 ? 1 : 0;
         for (int i = 0; i < copies; i++) {
             DatagramPacket copy = new DatagramPacket(packet.content().copy(), to.party);
-            long late = way.delay(chance) + way.overtaken(chance) + way.takes(copy.content().readableBytes());
+            long late = way.delayNanos(chance) + way.reorderingDelayNanos(chance) + way.transferNanos(copy.content().readableBytes());
             if (late == 0) {
                 send(copy, to);
             } else {
--- a/relay/src/test/java/wrenreach/relay/RelayTest.java
+++ b/relay/src/test/java/wrenreach/relay/RelayTest.java
@@ -25,11 +25,11 @@
 /** Relays between sockets of the test's own on loopback. */
 class RelayTest {
     private static final int SOON = 20_000, NEVER = 300;
-    private static final Trouble CUT = new Trouble(Trouble.Kind.CUT, 0, 0);
+    private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Way there = new Way();
-    private final Way back = new Way();
+    private final LinkDirection there = new LinkDirection();
+    private final LinkDirection back = new LinkDirection();
     private final List<String> failed = new ArrayList<>();
     private InetSocketAddress at;
     private ServerSocket target;
@@ -82,7 +82,7 @@
         }
     }
 
-    private void troubled(Way way, Trouble trouble, boolean on) throws Exception {
+    private void troubled(LinkDirection way, Impairment trouble, boolean on) throws Exception {
         does(() -> {
             if (on) {
                 way.begin(trouble);
@@ -142,7 +142,7 @@
     }
 
     @Test void whereItRefusesOrNobodyListensBehindItNobodyListens() throws Exception {
-        Trouble refuse = new Trouble(Trouble.Kind.REFUSE, 0, 0);
+        Impairment refuse = new Impairment(Impairment.Kind.REFUSE, 0, 0);
         troubled(back, refuse, true);
         until(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
         troubled(back, refuse, false);
@@ -157,7 +157,7 @@
         try (Socket a = connect(); Socket b = target.accept()) {
             b.setSoTimeout(SOON);
             says(a, b, "x");
-            does(relay::die);
+            does(relay::stop);
             assertThatThrownBy(() -> a.getInputStream().read()).isInstanceOf(SocketException.class);
             assertThatThrownBy(() -> b.getInputStream().read()).isInstanceOf(SocketException.class);
             until(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
@@ -170,7 +170,7 @@
         try (Socket a = connect(); Socket b = target.accept()) {
             b.setSoTimeout(SOON);
             says(a, b, "x");
-            Trouble half = new Trouble(Trouble.Kind.HALF, 0, 0);
+            Impairment half = new Impairment(Impairment.Kind.HALF, 0, 0);
             troubled(there, half, true);
             says(b, a, "y");
             a.getOutputStream().write("halfhalf".getBytes());
@@ -183,20 +183,20 @@
 
     /** Delays are summed where they overlap; a rate spreads a large piece; the order stays. */
     @Test void whatIsDelayedOrPacedComesLaterAndInOrder() throws Exception {
-        Way way = new Way();
-        way.begin(new Trouble(Trouble.Kind.DELAY, 40, 20));
-        way.begin(new Trouble(Trouble.Kind.DELAY, 100, 0));
-        way.begin(new Trouble(Trouble.Kind.RATE, 1000, 0));
-        way.begin(new Trouble(Trouble.Kind.RATE, 500, 0));
-        assertThat(way.delay(() -> 0.5)).isEqualTo(150_000_000);
-        assertThat(way.takes(50)).isEqualTo(100_000_000);
+        LinkDirection way = new LinkDirection();
+        way.begin(new Impairment(Impairment.Kind.DELAY, 40, 20));
+        way.begin(new Impairment(Impairment.Kind.DELAY, 100, 0));
+        way.begin(new Impairment(Impairment.Kind.RATE, 1000, 0));
+        way.begin(new Impairment(Impairment.Kind.RATE, 500, 0));
+        assertThat(way.delayNanos(() -> 0.5)).isEqualTo(150_000_000);
+        assertThat(way.transferNanos(50)).isEqualTo(100_000_000);
         try (Socket a = connect(); Socket b = target.accept()) {
             b.setSoTimeout(SOON);
             says(a, b, "x");
-            troubled(there, new Trouble(Trouble.Kind.DELAY, 400, 0), true);
+            troubled(there, new Impairment(Impairment.Kind.DELAY, 400, 0), true);
             a.getOutputStream().write("slow".getBytes());
             silent(b);
-            troubled(there, new Trouble(Trouble.Kind.DELAY, 400, 0), false);
+            troubled(there, new Impairment(Impairment.Kind.DELAY, 400, 0), false);
             a.getOutputStream().write("fast".getBytes());
             assertThat(new String(b.getInputStream().readNBytes(8))).isEqualTo("slowfast");
         }
@@ -217,16 +217,16 @@
             assertThat(hear(b, bKnows)).isEqualTo("1");
             send(b, bKnows, "2");
             assertThat(hear(a, aKnows)).isEqualTo("2");
-            troubled(there, new Trouble(Trouble.Kind.DOUBLING, 0.6, 0), true);
+            troubled(there, new Impairment(Impairment.Kind.DOUBLING, 0.6, 0), true);
             send(a, aKnows, "3");
             assertThat(List.of(hear(b, bKnows), hear(b, bKnows))).containsExactly("3", "3");
-            Trouble loss = new Trouble(Trouble.Kind.LOSS, 0.6, 0);
+            Impairment loss = new Impairment(Impairment.Kind.LOSS, 0.6, 0);
             troubled(there, loss, true);
             send(a, aKnows, "4");
             send(b, bKnows, "5");
             assertThat(hear(a, aKnows)).isEqualTo("5");
             troubled(there, loss, false);
-            Trouble late = new Trouble(Trouble.Kind.REORDERING, 0.6, 800);
+            Impairment late = new Impairment(Impairment.Kind.REORDERING, 0.6, 800);
             troubled(back, late, true);
             send(b, bKnows, "6");
             does(() -> { }); // The relay has read it before the way changes.
--- a/store/src/main/java/wrenreach/store/Batch.java
+++ b/store/src/main/java/wrenreach/store/Batch.java
@@ -17,7 +17,7 @@
     /** Bytes of a frame before its records, and of a record before its key. */
     static final int HEAD = 24, RECORD_HEAD = 11;
     /** Bytes that a key, a value and a whole batch may have. */
-    public static final int MOST_KEY = 1024, MOST_VALUE = 1 << 24, MOST = 1 << 26;
+    public static final int MAX_KEY_BYTES = 1024, MAX_VALUE_BYTES = 1 << 24, MAX_BYTES = 1 << 26;
     static final byte PUT = 1, DELETE = 2;
 
     /** One record. at: where in the frame it begins; value empty for a deletion. */
@@ -38,10 +38,10 @@
 
     private Batch add(byte type, String key, byte[] value) {
         byte[] name = key.getBytes(StandardCharsets.UTF_8);
-        if (name.length == 0 || name.length > MOST_KEY || value.length > MOST_VALUE
-                || bytes.size() + RECORD_HEAD + name.length + value.length > MOST) {
-            throw new IllegalArgumentException("a key has 1 to " + MOST_KEY + " bytes, a value up to " + MOST_VALUE + ", a batch up to "
-                    + MOST);
+        if (name.length == 0 || name.length > MAX_KEY_BYTES || value.length > MAX_VALUE_BYTES
+                || bytes.size() + RECORD_HEAD + name.length + value.length > MAX_BYTES) {
+            throw new IllegalArgumentException("a key has 1 to " + MAX_KEY_BYTES + " bytes, a value up to " + MAX_VALUE_BYTES + ", a batch up to "
+                    + MAX_BYTES);
         }
         ByteBuffer head = ByteBuffer.allocate(RECORD_HEAD).put(type).putShort((short) name.length).putInt(value.length);
         head.putInt(recordCheck(head.array(), 0, name, value));
--- a/store/src/main/java/wrenreach/store/Planner.java
+++ b/store/src/main/java/wrenreach/store/CompactionPlanner.java
@@ -5,7 +5,7 @@
  * go with it. Free of I/O: it sees sizes and answers with bytes. Its constants are ratios to the limit, but for bounds in bytes
  * that keep a segment no smaller than a block and a slice no longer than a turn can bear.
  */
-final class Planner {
+final class CompactionPlanner {
     /** Parts of the limit: what may be live, where cleaning begins at the latest, and one segment. */
     private static final double LIVE_PART = 0.5, FREE_PART = 0.4;
     private static final int SEGMENTS = 32;
@@ -16,7 +16,7 @@
     final long segment;
 
     /** limit: bytes that the store may take on disk. */
-    Planner(long limit) {
+    CompactionPlanner(long limit) {
         this.limit = limit;
         segment = Math.max(LEAST_SEGMENT, Math.min(MOST_SEGMENT, limit / SEGMENTS));
     }
--- a/store/src/main/java/wrenreach/store/Disk.java
+++ b/store/src/main/java/wrenreach/store/Disk.java
@@ -41,7 +41,7 @@
     void delete(String name) throws IOException;
 
     /** Returns once files made and deleted before will be so after a loss of power. */
-    void forceNames() throws IOException;
+    void forceDirectory() throws IOException;
 
     @Override void close() throws IOException;
 }
--- a/store/src/main/java/wrenreach/store/FolderDisk.java
+++ b/store/src/main/java/wrenreach/store/FolderDisk.java
@@ -62,7 +62,7 @@
         Files.deleteIfExists(folder.resolve(name));
     }
 
-    @Override public void forceNames() throws IOException {
+    @Override public void forceDirectory() throws IOException {
         FileChannel names;
         try {
             names = FileChannel.open(folder, StandardOpenOption.READ);
--- a/store/src/main/java/wrenreach/store/Store.java
+++ b/store/src/main/java/wrenreach/store/Store.java
@@ -35,18 +35,18 @@
     }
 
     /** Something that is not as it was written. lost: batches that are missing there; 0: only bytes that were given up. */
-    public record Hole(String file, long at, long bytes, long lost) {
+    public record DamagedRange(String file, long at, long bytes, long lost) {
         /** In words. */
-        public String text() {
+        public String describe() {
             return file + ": " + bytes + " bytes from " + at + " on can't be read" + (lost > 0 ? ", " + lost + " batches are lost" : "");
         }
     }
 
     /** What opening found. torn: bytes of a last write that was never finished, cut off. */
-    public record Recovered(long torn, List<Hole> holes, long batches) {
+    public record RecoveryReport(long truncatedBytes, List<DamagedRange> damagedRanges, long batches) {
         /** Whether batches that once were written are missing. */
         public boolean damaged() {
-            return holes.stream().anyMatch(hole -> hole.lost > 0);
+            return damagedRanges.stream().anyMatch(hole -> hole.lost > 0);
         }
     }
 
@@ -82,7 +82,7 @@
                 file.force();
             }
             if (names) {
-                disk.forceNames();
+                disk.forceDirectory();
             }
         }
     }
@@ -108,12 +108,12 @@
     private static final String PREFIX = "segment-", SUFFIX = ".log";
 
     private final Disk disk;
-    private final Planner planner;
+    private final CompactionPlanner planner;
     private final boolean readOnly;
     private final boolean sync;
     private final TreeMap<String, Place> index = new TreeMap<>();
     private final List<Segment> segments = new ArrayList<>();
-    private final List<Hole> holes = new ArrayList<>();
+    private final List<DamagedRange> holes = new ArrayList<>();
     private long torn;
     private long batches;
     private long sequence;
@@ -141,7 +141,7 @@
         this.disk = disk;
         this.readOnly = readOnly;
         this.sync = sync;
-        planner = new Planner(limit);
+        planner = new CompactionPlanner(limit);
     }
 
     /**
@@ -157,7 +157,7 @@
     }
 
     /** Opens it for reading: nothing is locked, cut or written. */
-    public static Store look(Disk disk) throws IOException {
+    public static Store openReadOnly(Disk disk) throws IOException {
         return opened(new Store(disk, Long.MAX_VALUE / 4, true, false));
     }
 
@@ -289,7 +289,7 @@
                 }
                 return true;
             }
-            holes.add(new Hole(name, 0, Math.min(FILE_HEAD, bytes.length), 0));
+            holes.add(new DamagedRange(name, 0, Math.min(FILE_HEAD, bytes.length), 0));
             segment.broken = true;
             // The first of all begins with the first batch, whatever became of its head.
             based |= number == 1;
@@ -303,7 +303,7 @@
                     cut(segments.get(segments.size() - 1), segments.get(segments.size() - 1).size, all);
                     return true;
                 }
-                holes.add(new Hole(name, 0, 0, before - sequence));
+                holes.add(new DamagedRange(name, 0, 0, before - sequence));
             }
             sequence = Math.max(sequence, before);
             based = true;
@@ -342,7 +342,7 @@
                 return true;
             }
             int end = next < 0 ? bytes.length : next;
-            holes.add(new Hole(name, at, end - at, 0));
+            holes.add(new DamagedRange(name, at, end - at, 0));
             at = end;
         }
         return false;
@@ -355,11 +355,11 @@
 
     /** The batches that are missing stand where bytes could not be read, if any. */
     private void noteLost(String name, int before, long lost) {
-        Hole hole = holes.isEmpty() ? null : holes.get(holes.size() - 1);
+        DamagedRange hole = holes.isEmpty() ? null : holes.get(holes.size() - 1);
         if (hole != null && hole.file.equals(name) && hole.at + hole.bytes == before) {
-            holes.set(holes.size() - 1, new Hole(name, hole.at, hole.bytes, lost));
+            holes.set(holes.size() - 1, new DamagedRange(name, hole.at, hole.bytes, lost));
         } else {
-            holes.add(new Hole(name, before, 0, lost));
+            holes.add(new DamagedRange(name, before, 0, lost));
         }
     }
 
@@ -391,8 +391,8 @@
     }
 
     /** What opening found. */
-    public Recovered recovered() {
-        return new Recovered(torn, List.copyOf(holes), batches);
+    public RecoveryReport recovered() {
+        return new RecoveryReport(torn, List.copyOf(holes), batches);
     }
 
     // ---- Reading ----
@@ -426,7 +426,7 @@
         }
     }
 
-    public boolean holds(String key) {
+    public boolean containsKey(String key) {
         return index.containsKey(key);
     }
 
@@ -663,7 +663,7 @@
     private void drop(Segment oldest) throws IOException {
         if (oldest.places > 0) {
             // Damage since it was written: what can't be read any more is told, and nothing is made up in its place.
-            holes.add(new Hole(name(oldest.number), FILE_HEAD, oldest.size - FILE_HEAD, oldest.places));
+            holes.add(new DamagedRange(name(oldest.number), FILE_HEAD, oldest.size - FILE_HEAD, oldest.places));
             index.entrySet().removeIf(entry -> {
                 boolean lost = entry.getValue().segment == oldest;
                 live -= lost ? entry.getValue().length : 0;
--- a/store/src/test/java/wrenreach/store/MemoryDisk.java
+++ b/store/src/test/java/wrenreach/store/MemoryDisk.java
@@ -150,7 +150,7 @@
         unforced.add(new Undone(operations, () -> files.put(name, before)));
     }
 
-    @Override public void forceNames() throws IOException {
+    @Override public void forceDirectory() throws IOException {
         operation();
         unforced.clear();
     }
--- a/store/src/test/java/wrenreach/store/StoreTest.java
+++ b/store/src/test/java/wrenreach/store/StoreTest.java
@@ -64,7 +64,7 @@
         }
         try (Store again = open(disk)) {
             assertThat(content(again)).isEqualTo(states.get(5)).containsExactlyInAnyOrderEntriesOf(Map.of("a", "six", "d", "five"));
-            assertThat(again.recovered()).isEqualTo(new Store.Recovered(0, List.of(), 5));
+            assertThat(again.recovered()).isEqualTo(new Store.RecoveryReport(0, List.of(), 5));
             assertThat(again.write(new Batch().put("e", new byte[0]))).isEqualTo(6);
         }
         assertThatThrownBy(() -> new Batch().put("", new byte[1])).isInstanceOf(IllegalArgumentException.class);
@@ -92,7 +92,7 @@
             }
             try (Store store = open(shorter)) {
                 assertThat(store.get("after")).as("cut at " + cut).isEqualTo(bytes("sound"));
-                assertThat(store.recovered()).isEqualTo(new Store.Recovered(0, List.of(), latest + 1));
+                assertThat(store.recovered()).isEqualTo(new Store.RecoveryReport(0, List.of(), latest + 1));
             }
         }
         assertThat(latest).isEqualTo(5);
@@ -134,8 +134,8 @@
                 try (Store store = open(damaged)) {
                     assertThat(content(store)).as("byte " + flipped).isEqualTo(content(without));
                     assertThat(store.recovered().damaged()).as("byte " + flipped).isEqualTo(batch >= 0 && batch < 4);
-                    assertThat(store.recovered().torn() > 0).as("byte " + flipped).isEqualTo(batch == 4);
-                    assertThat(store.recovered().holes().stream().mapToLong(Store.Hole::lost).sum()).isEqualTo(batch >= 0 && batch < 4 ? 1 : 0);
+                    assertThat(store.recovered().truncatedBytes() > 0).as("byte " + flipped).isEqualTo(batch == 4);
+                    assertThat(store.recovered().damagedRanges().stream().mapToLong(Store.DamagedRange::lost).sum()).isEqualTo(batch >= 0 && batch < 4 ? 1 : 0);
                 }
             }
         }
@@ -285,7 +285,7 @@
         try (Store store = open(new FolderDisk(folder))) {
             store.write(new Batch().put("a", bytes("b")));
             assertThatThrownBy(() -> open(new FolderDisk(folder))).isInstanceOf(IOException.class).hasMessageContaining("another process");
-            assertThat(content(Store.look(new FolderDisk(folder)))).isEqualTo(Map.of("a", "b"));
+            assertThat(content(Store.openReadOnly(new FolderDisk(folder)))).isEqualTo(Map.of("a", "b"));
         }
         Path file = folder.resolve("segment-0000000000000001.log");
         byte[] newer = Files.readAllBytes(file);
--- a/wire/src/main/java/wrenreach/wirehost/Node.java
+++ b/wire/src/main/java/wrenreach/wirehost/Node.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wrenreach.api.Answer;
+import wrenreach.api.Action;
 import wrenreach.api.Dispatcher;
-import wrenreach.api.Listing;
+import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
-import wrenreach.state.Connect;
+import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Destination;
 import wrenreach.state.Directory;
 import wrenreach.state.Endpoint;
@@ -24,7 +24,7 @@
     private final Dispatcher module;
     private final Map<Long, Mail> mails = new HashMap<>();
     private final Directory<Long> directory = new Directory<>();
-    private final List<Answer> answers = new ArrayList<>();
+    private final List<Action> answers = new ArrayList<>();
 
     Node(int number, int life, Dispatcher module) {
         this.number = number;
@@ -33,18 +33,18 @@
     }
 
     void view(Event.View view, List<Event.Host> hosts, long now) {
-        List<Listing.Entry> entries = new ArrayList<>(hosts.size());
+        List<EndpointUpdate.Entry> entries = new ArrayList<>(hosts.size());
         for (Event.Host host : hosts) {
             Destination to = directory.destination(host.dest());
             Endpoint endpoint = directory.endpoint(host.endpoint(),
                     () -> new Endpoint(host.endpoint(), to, host.sku(), host.zone()));
-            entries.add(new Listing.Entry(endpoint, state(host.availability()), host.share()));
+            entries.add(new EndpointUpdate.Entry(endpoint, state(host.availability()), host.share()));
         }
-        answers.addAll(module.listed(new Listing(Listing.Scope.values()[view.scope()], entries), now));
+        answers.addAll(module.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.values()[view.scope()], entries), now));
     }
 
     void req(Event.Req req, long now) {
-        OrderKey key = req.subject() == 0 ? null : directory.key(req.subject());
+        OrderKey key = req.subject() == 0 ? null : directory.orderKey(req.subject());
         Mail mail = new Mail(req.call(), directory.destination(req.dest()), key, req.type(), (int) req.client(), now,
                 now + req.expiresIn());
         mails.put(req.call(), mail);
@@ -53,11 +53,11 @@
 
     void response(Event.Response response, long now) {
         Mail mail = mails.get(response.call());
-        if (mail == null || response.number() >= mail.connects.size()) {
+        if (mail == null || response.number() >= mail.attempts.size()) {
             return;
         }
-        Connect connect = mail.connects.get(response.number());
-        answers.addAll(module.ended(connect, outcome(response), response.feedback(), response.done(), now));
+        DeliveryAttempt connect = mail.attempts.get(response.number());
+        answers.addAll(module.attemptEnded(connect, outcome(response), response.feedback(), response.done(), now));
         forget(mail, response.call());
     }
 
@@ -71,31 +71,31 @@
 
     void next(long now) {
         directory.sweep(now);
-        answers.addAll(module.next(now));
+        answers.addAll(module.nextActions(now));
     }
 
     void write(ReplyWriter reply) {
-        for (Answer answer : answers) {
-            if (answer instanceof Answer.Send send) {
-                Connect connect = send.connect();
-                reply.callOut(number, connect.mail.id, connect.endpoint.address, connect.cutAt);
-            } else if (answer instanceof Answer.Revoke revoke) {
-                reply.revoke(number, revoke.connect().mail.id, revoke.connect().number);
-            } else if (answer instanceof Answer.Defer defer) {
+        for (Action answer : answers) {
+            if (answer instanceof Action.Send send) {
+                DeliveryAttempt connect = send.attempt();
+                reply.callOut(number, connect.mail.id, connect.endpoint.address, connect.timeoutAt);
+            } else if (answer instanceof Action.Cancel revoke) {
+                reply.revoke(number, revoke.attempt().mail.id, revoke.attempt().number);
+            } else if (answer instanceof Action.Defer defer) {
                 reply.reject(number, defer.mail().id, defer.retryAfter());
                 forget(defer.mail(), defer.mail().id);
-            } else if (answer instanceof Answer.Bounce bounce) {
+            } else if (answer instanceof Action.Bounce bounce) {
                 reply.fail(number, bounce.mail().id);
                 forget(bounce.mail(), bounce.mail().id);
-            } else if (answer instanceof Answer.Wake wake) {
+            } else if (answer instanceof Action.WakeUp wake) {
                 reply.notifyMe(number, life, wake.delay());
-            } else if (answer instanceof Answer.Release release) {
+            } else if (answer instanceof Action.ReleaseConnections release) {
                 reply.release(number, release.endpoint().address);
-            } else if (answer instanceof Answer.FollowList) {
+            } else if (answer instanceof Action.SubscribeToList) {
                 reply.track(number);
-            } else if (answer instanceof Answer.AskList) {
+            } else if (answer instanceof Action.FetchList) {
                 reply.listAll(number);
-            } else if (answer instanceof Answer.Note note) {
+            } else if (answer instanceof Action.LogNote note) {
                 reply.journalLine(number, note.text());
             }
         }
@@ -103,16 +103,16 @@
     }
 
     private void forget(Mail mail, long id) {
-        if (mail.over && mail.out == 0) {
+        if (mail.finished && mail.inFlight == 0) {
             mails.remove(id);
         }
     }
 
-    private static Listing.State state(int availability) {
+    private static EndpointUpdate.State state(int availability) {
         return switch (availability) {
-            case 1 -> Listing.State.READY;
-            case 2 -> Listing.State.DRAINING;
-            default -> Listing.State.GONE;
+            case 1 -> EndpointUpdate.State.READY;
+            case 2 -> EndpointUpdate.State.DRAINING;
+            default -> EndpointUpdate.State.GONE;
         };
     }
 
--- a/wire/src/test/java/wrenreach/WireTest.java
+++ b/wire/src/test/java/wrenreach/WireTest.java
@@ -109,7 +109,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         WireHost host = new WireHost(new ByteArrayInputStream(in.toByteArray()), new PrintStream(out),
-                new PrintStream(err), Choice::new);
+                new PrintStream(err), DeliveryDispatcher::new);
         assertThat(host.run()).isEqualTo(code);
         return HexFormat.of().formatHex(out.toByteArray()) + "|" + err;
     }
