--- a/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
+++ b/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
@@ -8,38 +8,76 @@
 import wrenreach.state.*;
 
 /**
- * All decisions of one delivery node. The interface is wrenreach.api.Dispatcher: the host reports events
- * one by one (admit, ended, withdrawn, listed), then asks next() once a turn; each call returns plain
- * answers. State lives in wrenreach.state and is changed only from here. One instance a node, no clock of
- * its own, no threads; chance comes from the seed in the settings.
+ * Makes all decisions of one delivery node: admission, order and rate of sending, choice of endpoints, timeouts, retries, and how undelivered mails end.
+ *
+ * <p>The host reports events one by one (admit, attemptEnded, withdrawn, endpointsUpdated), then calls nextActions once per iteration of its event loop; each
+ * call returns plain actions for the host to carry out. State lives in wrenreach.state and is changed only from here. One instance per node; it has no clock
+ * of its own and no threads. Random numbers come from the seed in the settings. Times are in microseconds, rates in messages per second.
  */
 public final class DeliveryDispatcher implements Dispatcher {
+    /** An instant that is never reached. */
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long SECOND = 1_000_000;
-
-    private static final int WINDOW_BUCKETS = 8, SUSPECT_FAILURES = 2, SLOW_START_BACKOFFS = 4, MAX_BACKOFF_DOUBLINGS = 3;
-    // Ratios to the target delay: worth is lost on that scale. Rest and cut-off leave time for another try
-    // within it; burst is what a receiver's short queue takes; the share regains slower than bursts come.
-    private static final double MIN_CALL_TIMEOUT = 0.6, SLOW_START_WITHOUT_RELAY = 1.5, INITIAL_LATENCY = 0.1, MAX_WAKE_UP_INTERVAL = 0.04;
-    // Ratios to a route's usual time: one call in some hundred takes over 6 times the mean where times spread
-    // as an exponential does or somewhat wider; two places keep one busy while the other is on its way.
-    private static final double CALL_TIMEOUT_LATENCIES = 8, HUNG_CALL_TIMEOUT_LATENCIES = 6, OVERDUE_LATENCIES = 6, CONCURRENCY_FACTOR = 2, MAX_SAMPLE_LATENCIES = 3, DEGRADED_LATENCIES = 4;
-    // Weights of a new sample: the usual time must outlast a slow spell, the recent one must see it.
-    private static final int LATE_WAKE_UP_TICKS = 4, INITIAL_LATENCY_SAMPLES = 4;
-    private static final double TYPICAL_LATENCY_WEIGHT = 0.03, RECENT_LATENCY_WEIGHT = 0.3;
-    // Usual times for which each of ROOMY nodes, longer of fewer, keeps a connection: an endpoint takes a few
-    // for each call that it serves.
-    private static final double CAPPED_IDLE_LATENCIES = 2, UNPROVEN_IDLE_LATENCIES = 10;
-    private static final int CONNECTION_PROOF_NODES = 64, MAX_CONNECTION_CAP_PROOFS = 4;
-    // Usual times before its end at which a mail that is owed a try gets it: time for the call and a slow one.
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
+    /** Buckets of each sliding-window counter of a route. */
+    private static final int WINDOW_BUCKETS = 8;
+    /** Consecutive failures from which an endpoint is avoided for a while, and a route of a sparse node goes into slow start. */
+    private static final int SUSPECT_FAILURES = 2;
+    /** Consecutive backoffs from which a rejection may put its route into slow start, see SLOW_START_WITHOUT_RELAY. */
+    private static final int SLOW_START_BACKOFFS = 4;
+    /** How often the backoff of a route doubles at most. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 3;
+
+    // Ratios to the target delay: the importance of a late mail falls on that scale.
+    private static final double MIN_CALL_TIMEOUT = 0.6; // The shortest ordinary call timeout, which leaves time for another attempt within the target delay.
+    private static final double SLOW_START_WITHOUT_RELAY = 1.5; // Time without a relayed mail from which repeated rejections put the route into slow start.
+    private static final double INITIAL_LATENCY = 0.1; // Latency that is assumed for a new route.
+    private static final double MAX_WAKE_UP_INTERVAL = 0.04; // Longest time from one iteration to the next while a destination is active.
+
+    // Ratios to the typical latency of a route: one call in a few hundred takes over 6 times the mean where latencies are distributed exponentially or
+    // somewhat wider.
+    private static final double CALL_TIMEOUT_LATENCIES = 8; // The ordinary call timeout, unless MIN_CALL_TIMEOUT is longer.
+    private static final double HUNG_CALL_TIMEOUT_LATENCIES = 6; // The call timeout where some calls of the route hang while others are relayed at the usual latency.
+    private static final double OVERDUE_LATENCIES = 6; // Age from which an unanswered call makes its route degraded, if nothing was relayed since it was sent.
+    private static final double CONCURRENCY_FACTOR = 2; // Calls in flight per call that the rate needs: one keeps the endpoint busy while the other is on its way.
+    /** Upper bound of a sample for the typical latency; from this recent latency on, a route is slow as a whole and not hung in part. */
+    private static final double MAX_SAMPLE_LATENCIES = 3;
+    private static final double DEGRADED_LATENCIES = 4; // Recent latency above which a route is degraded.
+
+    /** Ticks after its scheduled time from which a wake-up counts as late. */
+    private static final int LATE_WAKE_UP_TICKS = 4;
+    /** Number of samples that the assumed latency of a new route stands for. */
+    private static final int INITIAL_LATENCY_SAMPLES = 4;
+    /** EWMA weight of a new sample in the typical latency, which must outlast a slow period. */
+    private static final double TYPICAL_LATENCY_WEIGHT = 0.03;
+    /** EWMA weight of a new sample in the recent latency, which must show a slow period. */
+    private static final double RECENT_LATENCY_WEIGHT = 0.3;
+
+    // How long an idle connection is kept, in typical latencies, by each of CONNECTION_PROOF_NODES nodes (fewer nodes keep theirs longer): an endpoint
+    // accepts a few connections for each call that it serves.
+    private static final double CAPPED_IDLE_LATENCIES = 2; // Where endpoints of the kind have shown a limit on connections.
+    private static final double UNPROVEN_IDLE_LATENCIES = 10; // Where they have neither shown a limit nor proved that they accept connections from all nodes.
+    private static final int CONNECTION_PROOF_NODES = 64; // Relayed mails that prove it: one per node, but at most this many.
+    private static final int MAX_CONNECTION_CAP_PROOFS = 4; // A shown limit is forgotten after the relayed mails of so many proofs at the latest.
+
+    /** Typical latencies before its end at which a recovered mail without an attempt gets one: time for the call, also for a slow one. */
     private static final int LAST_CHANCE_LATENCIES = 3;
-    // How long a line may be at the door, in target delays: most of it goes in time, those behind nearly so.
-    private static final double MAX_QUEUE_WAIT_FIRST = 0.5, MAX_QUEUE_WAIT_FOLLOWING = 2;
-    // One part in so many: of the slots for the lane, of the held mails kept free, of the time to ask in.
-    private static final int DEGRADED_CALLS_DIVISOR = 3, FREE_MAILS_DIVISOR = 16, LIST_RETRY_DIVISOR = 8;
-    // Endpoint order, in calls out: a call to join first, shunned ones last, then the last tried, cold
-    // connections, other zones.
-    private static final double JOIN_CALL_COST = -50, SUSPECT_ENDPOINT_COST = 100, LAST_TRIED_COST = 5, NEW_CONNECTION_COST = 2, OTHER_ZONE_COST = 1;
+
+    // How long a new mail may have to wait in its queue to be admitted, in target delays.
+    private static final double MAX_QUEUE_WAIT_FIRST = 0.5; // For the first mail of its order key, or one without a key: most of such a queue is relayed in time.
+    private static final double MAX_QUEUE_WAIT_FOLLOWING = 2; // For a mail behind another one of its order key: relayed nearly in time.
+
+    // Divisors: each sets aside one part in so many.
+    private static final int DEGRADED_CALLS_DIVISOR = 3; // Of the calls in flight, for all degraded routes together.
+    private static final int FREE_MAILS_DIVISOR = 16; // Of the mails that may be held, kept free.
+    private static final int LIST_RETRY_DIVISOR = 8; // Of the time in which the endpoint list has to be requested, as the interval of retries.
+
+    // Costs by which the endpoint for a mail is selected, in calls in flight.
+    private static final double JOIN_CALL_COST = -50; // A call that the mail can join comes first.
+    private static final double SUSPECT_ENDPOINT_COST = 100; // Endpoints that failed lately come last.
+    private static final double LAST_TRIED_COST = 5; // The endpoint of the mail's last attempt.
+    private static final double NEW_CONNECTION_COST = 2; // An endpoint to which no connection is idle.
+    private static final double OTHER_ZONE_COST = 1; // An endpoint in another zone.
 
     private final int nodeCount, nodeIndex, zone, maxCallsInFlight, maxDegradedCalls, maxHeldMails, maxAttempts, allowanceIndex, provenConnectionScore;
     private final long seed, tick, maxRetryAfter, connectionIdleTimeout, listRetryInterval, slowStartDuration, orderSettleTime, targetDelay, maxLifetime;
@@ -47,124 +85,135 @@
     private final double overQuotaImportance;
     private final List<Settings.QueueClass> classes;
     private final List<Settings.DestinationKind> kinds;
+    // Token bucket of each tenant: this node's part of the quota, in messages per second, the tokens left, and when they were updated.
     private final double[] tenantQuotas, tenantTokens;
     private final long[] tenantTokensUpdatedAt;
+    /**
+     * By kind of destination: grows with each relayed mail up to provenConnectionScore, from which connections may stay idle without limit; below 0 where
+     * endpoints have shown a limit on connections.
+     */
     private final int[] connectionScores;
     private final LocalFaultBackoff localFaultBackoff;
     private final RateLimiter rateLimiter;
     private final CircuitBreaker circuitBreaker;
     private final RetryPolicy retryPolicy;
 
+    /** The destinations that the endpoint list names. */
     private final List<Destination> destinations = new ArrayList<>();
-    /** Those with mails in line or calls out: all that a turn walks. */
+    /** Destinations with queued mails or calls in flight, or with a connection to release: an iteration looks at no others. */
     private final List<Destination> activeDestinations = new ArrayList<>();
+    /** Actions that the current event has produced so far. */
     private List<Action> actions = new ArrayList<>();
+    // roundRobinStart: the active destination that an iteration serves first; drawCount: random numbers drawn; wakeUpLateness: how late recent wake-ups were.
     private int heldMails, callsInFlight, roundRobinStart;
     private long drawCount, nextSequence, nextWakeUpAt, lastIterationAt, wakeUpLateness;
+    /** When the last requested wake-up is due. */
     private long scheduledWakeUpAt = Long.MIN_VALUE;
+    /** Whether updates of the endpoint list are subscribed to; if not, subscribeAt is when to try. */
     private boolean listSubscribed;
     private long subscribeAt = Long.MIN_VALUE;
 
-    public DeliveryDispatcher(Settings s) {
-        nodeCount = s.nodeCount();
-        nodeIndex = s.nodeIndex();
-        zone = s.zone();
-        seed = s.seed();
-        tick = s.tick();
-        maxCallsInFlight = Math.max(1, s.inFlightLimit());
+    public DeliveryDispatcher(Settings settings) {
+        nodeCount = settings.nodeCount();
+        nodeIndex = settings.nodeIndex();
+        zone = settings.zone();
+        seed = settings.seed();
+        tick = settings.tick();
+        maxCallsInFlight = Math.max(1, settings.inFlightLimit());
         maxDegradedCalls = Math.max(1, maxCallsInFlight / DEGRADED_CALLS_DIVISOR);
-        maxHeldMails = s.heldLimit();
-        maxAttempts = s.attemptLimit();
-        parallelAttemptsAllowed = s.parallelAttemptsAllowed();
-        cancellationAllowed = s.cancellationAllowed();
-        maxRetryAfter = s.retryAfterEnabled() ? s.retryAfterLimit() : 0;
-        connectionIdleTimeout = s.connectionIdleTimeout();
-        listOnRequest = s.listOnRequest();
-        weightsProvided = s.weightsProvided();
-        listRetryInterval = s.listRequestWindow() / LIST_RETRY_DIVISOR;
-        overQuotaImportance = s.overQuotaImportance();
-        allowanceIndex = s.allowanceIndex();
-        classes = s.classes();
-        kinds = s.kinds();
+        maxHeldMails = settings.heldLimit();
+        maxAttempts = settings.attemptLimit();
+        parallelAttemptsAllowed = settings.parallelAttemptsAllowed();
+        cancellationAllowed = settings.cancellationAllowed();
+        maxRetryAfter = settings.retryAfterEnabled() ? settings.retryAfterLimit() : 0;
+        connectionIdleTimeout = settings.connectionIdleTimeout();
+        listOnRequest = settings.listOnRequest();
+        weightsProvided = settings.weightsProvided();
+        listRetryInterval = settings.listRequestWindow() / LIST_RETRY_DIVISOR;
+        overQuotaImportance = settings.overQuotaImportance();
+        allowanceIndex = settings.allowanceIndex();
+        classes = settings.classes();
+        kinds = settings.kinds();
         connectionScores = new int[kinds.size() + 1];
         provenConnectionScore = Math.min(nodeCount, CONNECTION_PROOF_NODES);
-        tenantQuotas = s.tenants().stream().mapToDouble(t -> t.quotaPerSecond() / s.nodeCount()).toArray();
+        tenantQuotas = settings.tenants().stream().mapToDouble(tenant -> tenant.quotaPerSecond() / settings.nodeCount()).toArray();
         tenantTokens = tenantQuotas.clone();
         tenantTokensUpdatedAt = new long[tenantQuotas.length];
-        slowStartDuration = s.rules().slowStartDuration();
-        orderSettleTime = s.rules().orderSettleTime();
-        targetDelay = classes.stream().mapToLong(Settings.QueueClass::targetDelay).min().orElse(SECOND);
+        slowStartDuration = settings.rules().slowStartDuration();
+        orderSettleTime = settings.rules().orderSettleTime();
+        targetDelay = classes.stream().mapToLong(Settings.QueueClass::targetDelay).min().orElse(MICROS_PER_SECOND);
         localFaultBackoff = new LocalFaultBackoff(targetDelay);
-        rateLimiter = new RateLimiter(s, targetDelay, destinations::size);
-        circuitBreaker = new CircuitBreaker(s, targetDelay, rateLimiter, this::randomFraction, (text, at) -> actions.add(new Action.LogNote(text)));
+        rateLimiter = new RateLimiter(settings, targetDelay, destinations::size);
+        circuitBreaker = new CircuitBreaker(settings, targetDelay, rateLimiter, this::randomFraction, (text, at) -> actions.add(new Action.LogNote(text)));
         retryPolicy = new RetryPolicy(classes, tick);
-        maxLifetime = classes.stream().mapToLong(Settings.QueueClass::lifetime).max().orElse(SECOND);
+        maxLifetime = classes.stream().mapToLong(Settings.QueueClass::lifetime).max().orElse(MICROS_PER_SECOND);
     }
 
     // ---- Events ----
 
     @Override public List<Action> admit(Mail mail, long now) {
-        Settings.QueueClass kind = queueClassOf(mail);
+        Settings.QueueClass queueClass = queueClassOf(mail);
         heldMails++;
         mail.sequence = nextSequence++;
-        mail.softDeadline = mail.deadline - kind.lifetime() + kind.targetDelay();
-        // Guards mails that come with little time of their own: no later try is left to them, so they go with
-        // those in time. Harm: a client's last repeat is served before its turn.
-        if (mail.deadline - now < kind.targetDelay()) {
+        mail.softDeadline = mail.deadline - queueClass.lifetime() + queueClass.targetDelay();
+        // A mail that arrives with less than a target delay left has no time for a later attempt, so it competes with the mails that are in time. The cost:
+        // the last repeat that a client submits is served before its turn.
+        if (mail.deadline - now < queueClass.targetDelay()) {
             mail.softDeadline = mail.deadline;
         }
         mail.overQuota = exceedsQuota(mail, now);
-        if (mail.orderKey != null && kind.ordered()) {
+        if (mail.orderKey != null && queueClass.ordered()) {
             mail.orderKey.mails.addLast(mail);
         }
         enqueue(mail, mail.destination.queue.size());
-        for (Route r : mail.destination.routes) {
-            r.arrivals.add(now);
-            r.totalArrivals++;
+        for (Route route : mail.destination.routes) {
+            route.arrivals.add(now);
+            route.totalArrivals++;
         }
         if (mail.recovered) {
-            // What an earlier process took on was judged at its door.
+            // A recovered mail was admitted by an earlier process and is not judged again.
             return takeActions();
         }
-        long wait = expectedWait(mail.destination, mailsAhead(mail, now), now);
-        // Guards against lines as long as lifetimes, where all turn late and keep their keys open; and those
-        // behind an open mail of their key, who find lines full more often: a first one comes to a shorter
-        // line, as with admission control by session. Harm: a short rush turns away what would go late.
-        boolean first = mail.orderKey == null || mail.orderKey.mails.peekFirst() == mail;
-        long inLine = wait - expectedWait(mail.destination, 0, now);
-        if (now + wait + typicalLatencyOf(mail.destination) > mail.deadline
-                || inLine > (first ? MAX_QUEUE_WAIT_FIRST : MAX_QUEUE_WAIT_FOLLOWING) * kind.targetDelay()) {
-            endUndelivered(mail, wait, EndReason.QUEUE_TOO_LONG, now);
+        long totalWait = expectedWait(mail.destination, mailsAhead(mail, now), now);
+        // Limits the queue, as in one as long as a lifetime all mails become late and keep their order keys open. The first mail of a key is admitted to a
+        // shorter queue only, as with session-based admission control, since mails behind an open one of their key would find queues full more often. The
+        // cost: a short burst is turned away where it would be relayed late.
+        boolean firstOfKey = mail.orderKey == null || mail.orderKey.mails.peekFirst() == mail;
+        long queueWait = totalWait - expectedWait(mail.destination, 0, now);
+        if (now + totalWait + typicalLatencyOf(mail.destination) > mail.deadline
+                || queueWait > (firstOfKey ? MAX_QUEUE_WAIT_FIRST : MAX_QUEUE_WAIT_FOLLOWING) * queueClass.targetDelay()) {
+            endUndelivered(mail, totalWait, EndReason.QUEUE_TOO_LONG, now);
         } else if (heldMails > maxHeldMails - Math.max(1, maxHeldMails / FREE_MAILS_DIVISOR)) {
             shedLongestWaiting(now);
         }
         return takeActions();
     }
 
-    @Override public List<Action> attemptEnded(DeliveryAttempt c, Outcome outcome, double[] report, boolean done, long now) {
-        if (!c.open) {
+    @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] loadReport, boolean completed, long now) {
+        if (!attempt.open) {
             return takeActions();
         }
-        Mail mail = c.mail;
-        closeAttempt(c, outcome, now);
+        Mail mail = attempt.mail;
+        closeAttempt(attempt, outcome, now);
         if (outcome instanceof Outcome.LocalFault) {
-            onLocalFault(c, now);
+            onLocalFault(attempt, now);
             return takeActions();
         }
         localFaultBackoff.reset();
-        rateLimiter.onLoadReport(c.endpoint, report, now);
-        // Guards the wait rule: each mail of a call brings its own wait, some a tick later than the first.
-        if (outcome instanceof Outcome.Rejected full && full.retryAfter() > 0) {
-            Route r = c.endpoint.route;
-            r.retryAfterUntil = Math.max(r.retryAfterUntil, now + full.retryAfter() + tick);
-            r.backoffUntil = Math.max(r.backoffUntil, r.retryAfterUntil);
-        }
-        recordOutcome(c, outcome, now);
+        rateLimiter.onLoadReport(attempt.endpoint, loadReport, now);
+        // Each mail of a call has a Retry-After of its own, some reported a tick later than the first. The longest one holds, so that no attempt is made
+        // before the last of them is over.
+        if (outcome instanceof Outcome.Rejected rejected && rejected.retryAfter() > 0) {
+            Route route = attempt.endpoint.route;
+            route.retryAfterUntil = Math.max(route.retryAfterUntil, now + rejected.retryAfter() + tick);
+            route.backoffUntil = Math.max(route.backoffUntil, route.retryAfterUntil);
+        }
+        recordOutcome(attempt, outcome, now);
         if (mail.orderKey != null && (outcome instanceof Outcome.TimedOut || outcome instanceof Outcome.ConnectionLost
                 || outcome instanceof Outcome.Cancelled)) {
             mail.orderKey.blockedUntil = Math.max(mail.orderKey.blockedUntil, now + orderSettleTime);
         }
-        if (done || outcome instanceof Outcome.Delivered) {
+        if (completed || outcome instanceof Outcome.Delivered) {
             finish(mail);
         } else if (!mail.finished && mail.inFlight == 0) {
             retryOrEnd(mail, outcome, now);
@@ -174,26 +223,26 @@
     }
 
     /**
-     * This machine could not make the attempt. It is taken back: breaker, rate and the message's number of attempts are as before it.
-     * Where a copy of the message was begun after it, it keeps its number and so counts.
+     * This machine could not make the attempt, so it is undone: circuit breaker, token bucket and the number of attempts of the mail are as before it. If a
+     * parallel attempt for the mail was begun after it, it keeps its number and so counts as an attempt.
      */
-    private void onLocalFault(DeliveryAttempt c, long now) {
-        Mail mail = c.mail;
-        Route route = c.endpoint.route;
-        if (route.breaker.trial == c) {
+    private void onLocalFault(DeliveryAttempt attempt, long now) {
+        Mail mail = attempt.mail;
+        Route route = attempt.endpoint.route;
+        if (route.breaker.trial == attempt) {
             route.breaker.trial = null;
         }
-        if (!c.call.outcomeCounted) {
-            c.call.outcomeCounted = true;
+        if (!attempt.call.outcomeCounted) {
+            attempt.call.outcomeCounted = true;
             route.tokens++;
         }
-        if (mail.attempts.get(mail.attempts.size() - 1) == c) {
+        if (mail.attempts.get(mail.attempts.size() - 1) == attempt) {
             mail.attempts.remove(mail.attempts.size() - 1);
         }
-        long wait = localFaultBackoff.nextDelay(randomFraction(mail.id));
+        long delay = localFaultBackoff.nextDelay(randomFraction(mail.id));
         if (!mail.finished && mail.inFlight == 0) {
             retryOrEnd(mail, new Outcome.LocalFault(), now);
-            mail.notBefore = Math.max(mail.notBefore, now + wait);
+            mail.notBefore = Math.max(mail.notBefore, now + delay);
         }
         removeFromOrderKey(mail);
     }
@@ -204,43 +253,45 @@
         return takeActions();
     }
 
-    @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-        if (listing.scope() == EndpointUpdate.Scope.FAILED) {
+    @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
+        if (update.scope() == EndpointUpdate.Scope.FAILED) {
             listSubscribed = false;
             subscribeAt = now + listRetryInterval + (long) (listRetryInterval * randomFraction(listRetryInterval));
             return takeActions();
         }
-        List<Endpoint> left = new ArrayList<>();
-        if (listing.scope() != EndpointUpdate.Scope.CHANGES) {
-            destinations.forEach(d -> left.addAll(d.endpoints));
+        List<Endpoint> removed = new ArrayList<>();
+        if (update.scope() != EndpointUpdate.Scope.CHANGES) {
+            destinations.forEach(destination -> removed.addAll(destination.endpoints));
         }
-        for (EndpointUpdate.Entry entry : listing.entries()) {
-            Endpoint e = entry.endpoint();
-            left.remove(e);
+        for (EndpointUpdate.Entry entry : update.entries()) {
+            Endpoint endpoint = entry.endpoint();
+            removed.remove(endpoint);
             if (entry.state() == EndpointUpdate.State.GONE) {
-                left.add(e);
+                removed.add(endpoint);
             } else {
-                boolean fresh = e.route == null;
-                addEndpoint(e, now);
-                e.ready = entry.state() == EndpointUpdate.State.READY;
-                // Where the settings give no weights, what a list has in their place is no rate.
-                e.route.weight = weightsProvided && entry.weight() > 0 && e.ready ? entry.weight() : e.route.weight;
-                // Guards limits against many nodes that start at once, or find a new destination at once.
-                if (fresh && allowanceIndex >= 0) {
-                    e.route.share = Math.min(e.route.share, rateLimiter.burstStartShare(e.route, 1.0 / nodeCount));
+                boolean isNew = endpoint.route == null;
+                addEndpoint(endpoint, now);
+                endpoint.ready = entry.state() == EndpointUpdate.State.READY;
+                // Without weights in the settings, the number that a list has in their place is not a rate.
+                endpoint.route.weight = weightsProvided && entry.weight() > 0 && endpoint.ready ? entry.weight() : endpoint.route.weight;
+                // Starts with a small share, as many nodes may start at once, or find a new destination at once, and exceed its limit together.
+                if (isNew && allowanceIndex >= 0) {
+                    endpoint.route.share = Math.min(endpoint.route.share, rateLimiter.burstStartShare(endpoint.route, 1.0 / nodeCount));
                 }
             }
         }
-        left.forEach(DeliveryDispatcher::removeEndpoint);
-        // Guards memory: the host has forgotten those, and makes them anew when a mail comes.
-        destinations.removeIf(d -> !d.listed);
+        removed.forEach(DeliveryDispatcher::removeEndpoint);
+        // Saves memory: the host has forgotten these destinations, and creates them anew when a mail for them arrives.
+        destinations.removeIf(destination -> !destination.listed);
         return takeActions();
     }
 
     @Override public List<Action> nextActions(long now) {
-        // How late this node's own wakes have been of late: for as long as a mail lives, those that saw it are here.
-        long missed = scheduledWakeUpAt > lastIterationAt && now - scheduledWakeUpAt > LATE_WAKE_UP_TICKS * tick ? now - scheduledWakeUpAt : 0;
-        wakeUpLateness = Math.min(targetDelay, Math.max(missed, wakeUpLateness - (long) (wakeUpLateness * Math.min(1.0, (double) (now - lastIterationAt) / maxLifetime))));
+        // How late the recent wake-ups of this node were. It decays over the longest lifetime, as mails that were held at a late wake-up may be held for so
+        // long.
+        long lateness = scheduledWakeUpAt > lastIterationAt && now - scheduledWakeUpAt > LATE_WAKE_UP_TICKS * tick ? now - scheduledWakeUpAt : 0;
+        wakeUpLateness = Math.min(targetDelay, Math.max(lateness,
+                wakeUpLateness - (long) (wakeUpLateness * Math.min(1.0, (double) (now - lastIterationAt) / maxLifetime))));
         lastIterationAt = now;
         rateLimiter.beginIteration(now);
         nextWakeUpAt = now + (long) (MAX_WAKE_UP_INTERVAL * targetDelay);
@@ -257,18 +308,19 @@
                 sendQueued(activeDestinations.get((roundRobinStart + i) % activeDestinations.size()), pass == 0, now);
             }
         }
-        activeDestinations.removeIf(d -> !(d.busy = !isIdle(d, now)));
+        activeDestinations.removeIf(destination -> !(destination.busy = !isIdle(destination, now)));
         roundRobinStart++;
         scheduleWakeUp(now);
         return takeActions();
     }
 
+    /** Requests a wake-up unless there is nothing to do or one is already due by then. */
     private void scheduleWakeUp(long now) {
         boolean idle = activeDestinations.isEmpty() && !(listOnRequest && !listSubscribed);
-        long at = Math.max(nextWakeUpAt, now + tick);
-        if (!idle && !(scheduledWakeUpAt > now && scheduledWakeUpAt <= at)) {
-            scheduledWakeUpAt = at;
-            actions.add(new Action.WakeUp(at - now));
+        long wakeUpAt = Math.max(nextWakeUpAt, now + tick);
+        if (!idle && !(scheduledWakeUpAt > now && scheduledWakeUpAt <= wakeUpAt)) {
+            scheduledWakeUpAt = wakeUpAt;
+            actions.add(new Action.WakeUp(wakeUpAt - now));
         }
     }
 
@@ -280,369 +332,385 @@
 
     // ---- Admission ----
 
+    /** Takes a token from the bucket of the tenant of the mail; true if there was none. */
     private boolean exceedsQuota(Mail mail, long now) {
-        int t = mail.tenant;
-        if (t < 0 || t >= tenantQuotas.length || tenantQuotas[t] <= 0) {
+        int tenant = mail.tenant;
+        if (tenant < 0 || tenant >= tenantQuotas.length || tenantQuotas[tenant] <= 0) {
             return false;
         }
-        double most = Math.max(1, tenantQuotas[t] * targetDelay / SECOND);
-        tenantTokens[t] = Math.min(most, tenantTokens[t] + tenantQuotas[t] * (now - tenantTokensUpdatedAt[t]) / SECOND);
-        tenantTokensUpdatedAt[t] = now;
-        boolean over = tenantTokens[t] < 1;
-        tenantTokens[t] -= over ? 0 : 1;
-        return over;
+        double maxTokens = Math.max(1, tenantQuotas[tenant] * targetDelay / MICROS_PER_SECOND);
+        tenantTokens[tenant] = Math.min(maxTokens, tenantTokens[tenant] + tenantQuotas[tenant] * (now - tenantTokensUpdatedAt[tenant]) / MICROS_PER_SECOND);
+        tenantTokensUpdatedAt[tenant] = now;
+        boolean exceeded = tenantTokens[tenant] < 1;
+        tenantTokens[tenant] -= exceeded ? 0 : 1;
+        return exceeded;
     }
 
     /**
-     * How many mails of its line go before a new one: those worth as much, if it can be in time behind them,
-     * else all. Guards fresh mails against being turned away for a line of late ones that they would
-     * overtake.
+     * How many mails of its queue are sent before a new one: those of at least the same importance, if it can be in time behind them, else all. Without this,
+     * a fresh mail would be rejected because of a queue of late ones that it would overtake.
      */
     private int mailsAhead(Mail mail, long now) {
-        double worth = importance(mail, now);
-        int before = 0;
-        for (Mail m : mail.destination.queue) {
-            before += m != mail && importance(m, now) >= worth ? 1 : 0;
+        double ownImportance = importance(mail, now);
+        int aheadCount = 0;
+        for (Mail other : mail.destination.queue) {
+            aheadCount += other != mail && importance(other, now) >= ownImportance ? 1 : 0;
         }
-        return now + expectedWait(mail.destination, before, now) + typicalLatencyOf(mail.destination) <= mail.softDeadline ? before
+        return now + expectedWait(mail.destination, aheadCount, now) + typicalLatencyOf(mail.destination) <= mail.softDeadline ? aheadCount
                 : mail.destination.queue.size() - 1;
     }
 
-    /** How long a mail waits that has so many before it. */
-    private long expectedWait(Destination d, int ahead, long now) {
-        long start = NEVER;
-        double pace = 0;
-        for (Route r : d.routes) {
-            long opens = r.breaker.phase == CircuitBreakerState.Phase.OPEN ? r.breaker.openUntil : now;
-            start = Math.min(start, Math.max(0, Math.max(opens, r.backoffUntil) - now));
-            pace += rateLimiter.rate(r, now) * batchSize(r);
+    /** How long a mail waits in the queue behind so many others. */
+    private long expectedWait(Destination destination, int ahead, long now) {
+        long startsIn = NEVER;
+        double totalRate = 0;
+        for (Route route : destination.routes) {
+            long opensAt = route.breaker.phase == CircuitBreakerState.Phase.OPEN ? route.breaker.openUntil : now;
+            startsIn = Math.min(startsIn, Math.max(0, Math.max(opensAt, route.backoffUntil) - now));
+            totalRate += rateLimiter.rate(route, now) * batchSize(route);
         }
-        return pace <= 0 ? 0 : start + (long) (ahead / pace * SECOND);
+        return totalRate <= 0 ? 0 : startsIn + (long) (ahead / totalRate * MICROS_PER_SECOND);
     }
 
-    /** When held mails run out: the mail that waits longest goes back, those over share first. */
+    /** Called when the limit of held mails is nearly reached: ends the mail with the longest expected wait, those over quota first. */
     private void shedLongestWaiting(long now) {
-        Mail worst = null;
-        double most = 0;
-        for (Destination d : activeDestinations) {
-            long wait = d.queue.isEmpty() ? 0 : expectedWait(d, d.queue.size(), now);
-            for (Mail m : d.queue) {
-                double weight = wait * (m.overQuota ? 1 / overQuotaImportance : 1);
-                if (weight >= most && weight > targetDelay && m.attempts.isEmpty() && !m.recovered) {
-                    most = weight;
-                    worst = m;
+        Mail longestWaiting = null;
+        double maxWeight = 0;
+        for (Destination destination : activeDestinations) {
+            long wait = destination.queue.isEmpty() ? 0 : expectedWait(destination, destination.queue.size(), now);
+            for (Mail mail : destination.queue) {
+                double weight = wait * (mail.overQuota ? 1 / overQuotaImportance : 1);
+                if (weight >= maxWeight && weight > targetDelay && mail.attempts.isEmpty() && !mail.recovered) {
+                    maxWeight = weight;
+                    longestWaiting = mail;
                 }
             }
         }
-        if (worst != null) {
-            endUndelivered(worst, (long) most, EndReason.NO_ROOM, now);
+        if (longestWaiting != null) {
+            endUndelivered(longestWaiting, (long) maxWeight, EndReason.NO_ROOM, now);
         }
     }
 
-    // ---- Line ----
-
-    private void sendQueued(Destination d, boolean fullOnly, long now) {
-        while (!d.queue.isEmpty()) {
-            Mail best = null;
-            Endpoint at = null;
-            double most = 0;
-            for (Mail m : d.queue) {
-                boolean full = hasFullImportance(m, now);
-                if (fullOnly && !full || !isEligible(m, now)) {
+    // ---- Queues and selection of endpoints ----
+
+    /** Sends queued mails of a destination, the highest priority first, until none can be sent. */
+    private void sendQueued(Destination destination, boolean fullImportanceOnly, long now) {
+        while (!destination.queue.isEmpty()) {
+            Mail bestMail = null;
+            Endpoint bestEndpoint = null;
+            double maxPriority = 0;
+            for (Mail mail : destination.queue) {
+                boolean fullImportance = hasFullImportance(mail, now);
+                if (fullImportanceOnly && !fullImportance || !isEligible(mail, now)) {
                     continue;
                 }
-                double worth = sendPriority(m, now);
-                if (worth > most) {
-                    Endpoint e = selectEndpoint(d, m, now);
-                    if (e != null) {
-                        best = m;
-                        at = e;
-                        most = worth;
+                double priority = sendPriority(mail, now);
+                if (priority > maxPriority) {
+                    Endpoint endpoint = selectEndpoint(destination, mail, now);
+                    if (endpoint != null) {
+                        bestMail = mail;
+                        bestEndpoint = endpoint;
+                        maxPriority = priority;
                     }
                 }
             }
-            if (best == null) {
+            if (bestMail == null) {
                 return;
             }
-            send(best, at, now);
+            send(bestMail, bestEndpoint, now);
         }
     }
 
     /**
-     * What a send of this mail is worth, with those of its key behind it: the best mean over a start of the
-     * key's line. Guards against late mails at the head of their keys that make all behind them late too,
-     * when a destination gets more than it takes. Harm: keys long late wait until the rush is over.
+     * The priority of sending this mail: the importance of it and the mails behind it in its order key, as the best mean over a beginning of the queue of
+     * that key. Otherwise late mails at the heads of their keys would make all behind them late too when a destination gets more than it accepts. The cost:
+     * keys that are long late wait until the burst is over.
      */
-    private double sendPriority(Mail m, long now) {
-        double best = importance(m, now);
-        if (m.orderKey != null && queueClassOf(m).ordered()) {
+    private double sendPriority(Mail mail, long now) {
+        double priority = importance(mail, now);
+        if (mail.orderKey != null && queueClassOf(mail).ordered()) {
             double sum = 0;
             int count = 0;
-            for (Mail next : m.orderKey.mails) {
-                sum += importance(next, now);
-                best = Math.max(best, sum / ++count);
+            for (Mail queued : mail.orderKey.mails) {
+                sum += importance(queued, now);
+                priority = Math.max(priority, sum / ++count);
             }
         }
-        return best;
+        return priority;
     }
 
-    private boolean hasFullImportance(Mail m, long now) {
-        return !m.overQuota && now + typicalLatencyOf(m.destination) <= m.softDeadline;
+    /** Whether the mail is within its quota and can still be relayed by its soft deadline. */
+    private boolean hasFullImportance(Mail mail, long now) {
+        return !mail.overQuota && now + typicalLatencyOf(mail.destination) <= mail.softDeadline;
     }
 
-    /** Whether an earlier process took the mail on and never tried it. */
-    private static boolean isRecoveredUnattempted(Mail m) {
-        return m.recovered && m.attempts.isEmpty();
+    /** Whether the mail was recovered and no attempt for it has been made. */
+    private static boolean isRecoveredUnattempted(Mail mail) {
+        return mail.recovered && mail.attempts.isEmpty();
     }
 
     /**
-     * Whether such a mail goes now or never: then it borrows a turn from those that come. Guards against giving most of them
-     * up untried where a receiver takes less than comes: late at a restart, all stand behind what comes new. Harm: a call
-     * that the receiver may refuse.
+     * Whether this is the last chance for the only attempt of a recovered mail: then it borrows a token from later mails. Otherwise most recovered mails
+     * would end without an attempt where a receiver accepts less than arrives: being late at a restart, they stand behind all new mails. The cost: a call
+     * that the receiver may reject.
      */
-    private boolean isLastChance(Mail m, Route r, long now) {
-        return isRecoveredUnattempted(m) && !r.inSlowStart && r.retryAfterUntil <= now && now >= lastChanceAt(m);
+    private boolean isLastChance(Mail mail, Route route, long now) {
+        return isRecoveredUnattempted(mail) && !route.inSlowStart && route.retryAfterUntil <= now && now >= lastChanceAt(mail);
     }
 
-    private long lastChanceAt(Mail m) {
-        return m.deadline - LAST_CHANCE_LATENCIES * typicalLatencyOf(m.destination) - 4 * tick - wakeUpLateness;
+    /** When a recovered mail without an attempt has to be sent at the latest. */
+    private long lastChanceAt(Mail mail) {
+        return mail.deadline - LAST_CHANCE_LATENCIES * typicalLatencyOf(mail.destination) - 4 * tick - wakeUpLateness;
     }
 
     /**
-     * What it is worth if sent now. Late mails go the younger first: whoever waits loses as much in that
-     * time, but where not all can be sent, the oldest have least left to lose.
+     * The importance of the mail if it is sent now. Among late mails the younger go first: each loses as much by waiting, but where not all can be sent, the
+     * oldest have the least importance left to lose.
      */
-    private double importance(Mail m, long now) {
-        Settings.QueueClass kind = queueClassOf(m);
-        double late = now + typicalLatencyOf(m.destination) - m.softDeadline;
-        double delay = kind.targetDelay();
-        double left = late <= 0 ? 1 : kind.exponentialDecay() ? Math.max(kind.lateImportanceShare(), Math.pow(0.5, late / delay))
-                : 1 - (1 - kind.lateImportanceShare()) * Math.min(1, late / Math.max(delay, kind.lifetime() - delay));
-        return kind.importance() * left * (m.overQuota ? overQuotaImportance : 1);
-    }
-
-    private boolean isEligible(Mail m, long now) {
-        if (m.notBefore > now) {
-            wakeUpBy(m.notBefore, now);
+    private double importance(Mail mail, long now) {
+        Settings.QueueClass queueClass = queueClassOf(mail);
+        double lateness = now + typicalLatencyOf(mail.destination) - mail.softDeadline;
+        double classTargetDelay = queueClass.targetDelay();
+        double remainingShare = lateness <= 0 ? 1 : queueClass.exponentialDecay() ? Math.max(queueClass.lateImportanceShare(), Math.pow(0.5, lateness / classTargetDelay))
+                : 1 - (1 - queueClass.lateImportanceShare()) * Math.min(1, lateness / Math.max(classTargetDelay, queueClass.lifetime() - classTargetDelay));
+        return queueClass.importance() * remainingShare * (mail.overQuota ? overQuotaImportance : 1);
+    }
+
+    /** Whether the mail may be sent now as far as its own delay and its order key are concerned. */
+    private boolean isEligible(Mail mail, long now) {
+        if (mail.notBefore > now) {
+            wakeUpBy(mail.notBefore, now);
             return false;
         }
-        if (m.orderKey == null || !queueClassOf(m).ordered()) {
+        if (mail.orderKey == null || !queueClassOf(mail).ordered()) {
             return true;
         }
-        boolean rests = m.attempts.isEmpty() && m.orderKey.blockedUntil > now;
-        wakeUpBy(rests ? m.orderKey.blockedUntil : now, now);
-        return m.orderKey.mails.peekFirst() == m && !rests;
+        boolean blocked = mail.attempts.isEmpty() && mail.orderKey.blockedUntil > now;
+        wakeUpBy(blocked ? mail.orderKey.blockedUntil : now, now);
+        return mail.orderKey.mails.peekFirst() == mail && !blocked;
     }
 
-    private Endpoint selectEndpoint(Destination d, Mail m, long now) {
+    /** The cheapest endpoint to which the mail may be sent now, or null. */
+    private Endpoint selectEndpoint(Destination destination, Mail mail, long now) {
         Endpoint best = null;
-        double least = Double.MAX_VALUE;
-        for (Endpoint e : d.endpoints) {
-            if (!maySend(m, e, now) || !canJoinCall(e, now) && !canStartCall(e, m, now)) {
+        double minCost = Double.MAX_VALUE;
+        for (Endpoint endpoint : destination.endpoints) {
+            if (!maySend(mail, endpoint, now) || !canJoinCall(endpoint, now) && !canStartCall(endpoint, mail, now)) {
                 continue;
             }
-            double cost = e.inFlight + (hasIdleConnection(e, now) ? 0 : NEW_CONNECTION_COST) + (e.zone == zone ? 0 : OTHER_ZONE_COST)
-                    + (isSuspect(e, now) ? SUSPECT_ENDPOINT_COST : 0) + (lastEndpoint(m) == e ? LAST_TRIED_COST : 0)
-                    + (canJoinCall(e, now) ? JOIN_CALL_COST : 0) + e.preference;
-            if (cost < least) {
-                least = cost;
-                best = e;
+            double cost = endpoint.inFlight + (hasIdleConnection(endpoint, now) ? 0 : NEW_CONNECTION_COST) + (endpoint.zone == zone ? 0 : OTHER_ZONE_COST)
+                    + (isSuspect(endpoint, now) ? SUSPECT_ENDPOINT_COST : 0) + (lastEndpoint(mail) == endpoint ? LAST_TRIED_COST : 0)
+                    + (canJoinCall(endpoint, now) ? JOIN_CALL_COST : 0) + endpoint.preference;
+            if (cost < minCost) {
+                minCost = cost;
+                best = endpoint;
             }
         }
         return best;
     }
 
-    /** Whether the mail may travel with the call that this turn already makes to the endpoint. */
-    private boolean canJoinCall(Endpoint e, long now) {
-        return e.joinableCall != null && e.joinableCall.sentAt == now && e.joinableCall.size < batchSize(e.route)
-                && e.route.breaker.phase == CircuitBreakerState.Phase.CLOSED;
+    /** Whether the mail can join the call that this iteration already makes to the endpoint. */
+    private boolean canJoinCall(Endpoint endpoint, long now) {
+        return endpoint.joinableCall != null && endpoint.joinableCall.sentAt == now && endpoint.joinableCall.size < batchSize(endpoint.route)
+                && endpoint.route.breaker.phase == CircuitBreakerState.Phase.CLOSED;
     }
 
-    /** Whether the endpoint may be given a call now: breaker, wait, pace, places, slots, lane. */
-    private boolean canStartCall(Endpoint e, Mail m, long now) {
-        Route r = e.route;
-        // Half of the slots, but two of three: guards clumps at nodes of few slots. Harm: it may turn silent.
-        int most = Math.max(Math.min(2, maxCallsInFlight - 1), Math.max(1, maxCallsInFlight / 2));
-        if (callsInFlight >= maxCallsInFlight || e.destination.inFlight >= most || e.inFlight >= maxConcurrentCalls(e, now)) {
+    /** Whether a new call to the endpoint may start now: circuit breaker, rate limit, concurrency limits and the bulkhead for degraded routes allow it. */
+    private boolean canStartCall(Endpoint endpoint, Mail mail, long now) {
+        Route route = endpoint.route;
+        // A destination gets at most half of the calls in flight, but two of three, so that nodes with few calls can send it a burst. The cost: it may stop
+        // answering and hold them.
+        int maxPerDestination = Math.max(Math.min(2, maxCallsInFlight - 1), Math.max(1, maxCallsInFlight / 2));
+        if (callsInFlight >= maxCallsInFlight || endpoint.destination.inFlight >= maxPerDestination || endpoint.inFlight >= maxConcurrentCalls(endpoint, now)) {
             return false;
         }
-        if (!circuitBreaker.allows(r, now)) {
-            wakeUpBy(circuitBreaker.isCoolingDown(r, now) ? r.breaker.openUntil : now, now);
+        if (!circuitBreaker.allows(route, now)) {
+            wakeUpBy(circuitBreaker.isCoolingDown(route, now) ? route.breaker.openUntil : now, now);
             return false;
         }
-        if (isDegraded(r, now) && (r.calls.size() >= 1 || degradedCallsInFlight(now) >= maxDegradedCalls)) {
+        if (isDegraded(route, now) && (route.calls.size() >= 1 || degradedCallsInFlight(now) >= maxDegradedCalls)) {
             return false;
         }
-        long tokenAt = rateLimiter.nextTokenAt(r, now);
+        long tokenAt = rateLimiter.nextTokenAt(route, now);
         wakeUpBy(tokenAt, now);
-        return tokenAt == now || isLastChance(m, r, now);
+        return tokenAt == now || isLastChance(mail, route, now);
     }
 
-    private boolean isSuspect(Endpoint e, long now) {
-        return e.consecutiveFailures >= SUSPECT_FAILURES && now < e.lastFailedAt + 2 * targetDelay;
+    /** Whether the endpoint failed several times in a row, the last time less than two target delays ago. */
+    private boolean isSuspect(Endpoint endpoint, long now) {
+        return endpoint.consecutiveFailures >= SUSPECT_FAILURES && now < endpoint.lastFailedAt + 2 * targetDelay;
     }
 
-    private static Endpoint lastEndpoint(Mail m) {
-        return m.attempts.isEmpty() ? null : m.attempts.get(m.attempts.size() - 1).endpoint;
+    /** The endpoint of the mail's last attempt, or null. */
+    private static Endpoint lastEndpoint(Mail mail) {
+        return mail.attempts.isEmpty() ? null : mail.attempts.get(mail.attempts.size() - 1).endpoint;
     }
 
-    private int maxConcurrentCalls(Endpoint e, long now) {
-        Route r = e.route;
-        int most = (int) Math.ceil(CONCURRENCY_FACTOR * rateLimiter.limit(r) * r.typicalLatency / SECOND / Math.max(1, r.endpointCount));
-        if (now - e.concurrencyLimitSetAt > slowStartDuration) {
-            e.concurrencyLimit = Integer.MAX_VALUE;
+    /** How many calls the endpoint may have in flight: what its rate limit needs by its latency, or less for a while after it refused a connection. */
+    private int maxConcurrentCalls(Endpoint endpoint, long now) {
+        Route route = endpoint.route;
+        int neededForLimit = (int) Math.ceil(CONCURRENCY_FACTOR * rateLimiter.limit(route) * route.typicalLatency / MICROS_PER_SECOND / Math.max(1, route.endpointCount));
+        if (now - endpoint.concurrencyLimitSetAt > slowStartDuration) {
+            endpoint.concurrencyLimit = Integer.MAX_VALUE;
         }
-        return Math.min(e.concurrencyLimit, Math.max(2, most));
+        return Math.min(endpoint.concurrencyLimit, Math.max(2, neededForLimit));
     }
 
-    private boolean hasIdleConnection(Endpoint e, long now) {
-        while (!e.idleConnections.isEmpty() && e.idleConnections.peekFirst() + connectionIdleTimeout <= now) {
-            e.idleConnections.pollFirst();
+    /** Forgets the connections that have reached the idle timeout; true if any is left. */
+    private boolean hasIdleConnection(Endpoint endpoint, long now) {
+        while (!endpoint.idleConnections.isEmpty() && endpoint.idleConnections.peekFirst() + connectionIdleTimeout <= now) {
+            endpoint.idleConnections.pollFirst();
         }
-        return !e.idleConnections.isEmpty();
+        return !endpoint.idleConnections.isEmpty();
     }
 
-    // ---- The door of every send ----
+    // ---- Sending: every attempt passes maySend ----
 
-    private boolean maySend(Mail m, Endpoint e, long now) {
-        Route r = e.route;
-        if (m.finished || !e.ready || r.backoffUntil > now && !isLastChance(m, r, now) || m.attempts.size() >= maxAttempts) {
-            wakeUpBy(r.backoffUntil, now);
+    /** Whether an attempt for the mail at this endpoint is allowed; the last check before every send. */
+    private boolean maySend(Mail mail, Endpoint endpoint, long now) {
+        Route route = endpoint.route;
+        if (mail.finished || !endpoint.ready || route.backoffUntil > now && !isLastChance(mail, route, now) || mail.attempts.size() >= maxAttempts) {
+            wakeUpBy(route.backoffUntil, now);
             return false;
         }
-        if (m.inFlight > 0 && !parallelAttemptsAllowed || now + (m.attempts.isEmpty() ? 0 : (long) r.typicalLatency) + 4 * tick > m.deadline) {
+        if (mail.inFlight > 0 && !parallelAttemptsAllowed || now + (mail.attempts.isEmpty() ? 0 : (long) route.typicalLatency) + 4 * tick > mail.deadline) {
             return false;
         }
-        return retryPolicy.mayAttempt(m, e, now);
+        return retryPolicy.mayAttempt(mail, endpoint, now);
     }
 
-    private void send(Mail m, Endpoint e, long now) {
-        Route r = e.route;
-        Call call = e.joinableCall;
-        if (!canJoinCall(e, now)) {
+    /** Starts an attempt, in the call that the mail can join or in a new one. */
+    private void send(Mail mail, Endpoint endpoint, long now) {
+        Route route = endpoint.route;
+        Call call = endpoint.joinableCall;
+        if (!canJoinCall(endpoint, now)) {
             call = new Call(now);
-            e.joinableCall = call;
-            r.calls.add(call);
-            e.inFlight++;
-            e.destination.inFlight++;
+            endpoint.joinableCall = call;
+            route.calls.add(call);
+            endpoint.inFlight++;
+            endpoint.destination.inFlight++;
             callsInFlight++;
-            // A turn that is borrowed is given back by the next one; more would hold up all that come after a restart.
-            r.tokens = Math.max(-1, r.tokens - 1);
-            r.sent.add(now);
-            e.callInterval = now - e.lastUsedAt;
-            e.lastUsedAt = now;
-            e.idleConnections.pollLast();
+            // A borrowed token is repaid by the next one. A larger debt would hold up all mails that arrive after a restart.
+            route.tokens = Math.max(-1, route.tokens - 1);
+            route.sent.add(now);
+            endpoint.callInterval = now - endpoint.lastUsedAt;
+            endpoint.lastUsedAt = now;
+            endpoint.idleConnections.pollLast();
         }
         call.size++;
         call.openAttempts++;
-        boolean ordinary = !cancellationAllowed || canRepeatAfterTimeout(m, callTimeout(r, now));
-        long cut = ordinary ? callTimeout(r, now) : queueClassOf(m).lifetime() / 2;
-        DeliveryAttempt c = new DeliveryAttempt(m, e, now, Math.min(now + cut, m.deadline - 2 * tick), call);
-        if (queueClassOf(m).effect() == Settings.Effect.TAGGED) {
-            for (DeliveryAttempt past : m.attempts) {
-                c.sendDeadline = past.neverRan ? c.sendDeadline : Math.min(c.sendDeadline, retryPolicy.deduplicatedUntil(m, past));
+        boolean ordinaryTimeout = !cancellationAllowed || canRepeatAfterTimeout(mail, callTimeout(route, now));
+        long timeout = ordinaryTimeout ? callTimeout(route, now) : queueClassOf(mail).lifetime() / 2;
+        DeliveryAttempt attempt = new DeliveryAttempt(mail, endpoint, now, Math.min(now + timeout, mail.deadline - 2 * tick), call);
+        if (queueClassOf(mail).effect() == Settings.Effect.TAGGED) {
+            for (DeliveryAttempt earlier : mail.attempts) {
+                attempt.sendDeadline = earlier.neverRan ? attempt.sendDeadline : Math.min(attempt.sendDeadline, retryPolicy.deduplicatedUntil(mail, earlier));
             }
         }
-        m.attempts.add(c);
-        call.attempts.add(c);
-        m.inFlight++;
-        m.destination.queue.remove(m);
-        r.lastUsedAt = now;
-        circuitBreaker.onAttempt(r, c);
-        actions.add(new Action.Send(c));
-    }
-
-    private void closeAttempt(DeliveryAttempt c, Outcome outcome, long now) {
-        c.open = false;
-        c.neverRan = outcome.neverRan();
-        c.mail.inFlight--;
-        if (--c.call.openAttempts == 0) {
-            c.endpoint.inFlight--;
-            c.endpoint.destination.inFlight--;
+        mail.attempts.add(attempt);
+        call.attempts.add(attempt);
+        mail.inFlight++;
+        mail.destination.queue.remove(mail);
+        route.lastUsedAt = now;
+        circuitBreaker.onAttempt(route, attempt);
+        actions.add(new Action.Send(attempt));
+    }
+
+    /** Releases what the attempt occupied; with the last attempt of a call also its place among the calls in flight. */
+    private void closeAttempt(DeliveryAttempt attempt, Outcome outcome, long now) {
+        attempt.open = false;
+        attempt.neverRan = outcome.neverRan();
+        attempt.mail.inFlight--;
+        if (--attempt.call.openAttempts == 0) {
+            attempt.endpoint.inFlight--;
+            attempt.endpoint.destination.inFlight--;
             callsInFlight--;
-            c.endpoint.route.calls.remove(c.call);
+            attempt.endpoint.route.calls.remove(attempt.call);
             if (outcome instanceof Outcome.Delivered || outcome instanceof Outcome.ServerError
                     || outcome instanceof Outcome.Rejected) {
-                keepOrReleaseConnection(c.endpoint, now);
+                keepOrReleaseConnection(attempt.endpoint, now);
             }
         }
     }
 
     /**
-     * Guards endpoints that take few connections, idle ones counted, from many nodes: where a kind has shown
-     * a cap, or not yet let pass as many relays as nodes use it, an idle one is given back unless the last
-     * two sends there were close. Harm: a handshake for each mail of a returning rush.
+     * Endpoints may accept few connections, idle ones included, from many nodes. Where a kind has shown a limit, or has not yet let as many mails pass as
+     * nodes use it, an idle connection is released unless the last two calls to the endpoint were close together. The cost: a handshake for each mail of a
+     * burst that returns.
      */
-    private void keepOrReleaseConnection(Endpoint e, long now) {
-        e.idleConnections.addLast(now);
-        if (e.callInterval > maxIdleTime(e)) {
-            releaseConnections(e);
+    private void keepOrReleaseConnection(Endpoint endpoint, long now) {
+        endpoint.idleConnections.addLast(now);
+        if (endpoint.callInterval > maxIdleTime(endpoint)) {
+            releaseConnections(endpoint);
         }
     }
 
-    private long maxIdleTime(Endpoint e) {
-        int seen = connectionScores[e.route.kind];
-        return seen >= provenConnectionScore ? NEVER : (long) ((seen < 0 ? CAPPED_IDLE_LATENCIES : UNPROVEN_IDLE_LATENCIES) * CONNECTION_PROOF_NODES / provenConnectionScore * e.route.typicalLatency);
+    /** The time between two calls up to which a connection to the endpoint is kept. */
+    private long maxIdleTime(Endpoint endpoint) {
+        int score = connectionScores[endpoint.route.kind];
+        return score >= provenConnectionScore ? NEVER
+                : (long) ((score < 0 ? CAPPED_IDLE_LATENCIES : UNPROVEN_IDLE_LATENCIES) * CONNECTION_PROOF_NODES / provenConnectionScore * endpoint.route.typicalLatency);
     }
 
-    private void releaseConnections(Endpoint e) {
-        e.idleConnections.clear();
-        actions.add(new Action.ReleaseConnections(e));
+    private void releaseConnections(Endpoint endpoint) {
+        endpoint.idleConnections.clear();
+        actions.add(new Action.ReleaseConnections(endpoint));
     }
 
-    /** Whether a destination needs no turn: no mails, no calls, no connection to give back in time. */
-    private boolean isIdle(Destination d, long now) {
-        boolean rests = d.queue.isEmpty() && d.inFlight == 0;
-        for (Endpoint e : d.endpoints) {
-            if (hasIdleConnection(e, now) && maxIdleTime(e) < NEVER) {
-                if (now - e.idleConnections.peekLast() > maxIdleTime(e)) {
-                    releaseConnections(e);
+    /**
+     * Whether the destination needs no further iteration: no mails, no calls, no connection to release later. Releases connections that have been idle for
+     * long enough.
+     */
+    private boolean isIdle(Destination destination, long now) {
+        boolean idle = destination.queue.isEmpty() && destination.inFlight == 0;
+        for (Endpoint endpoint : destination.endpoints) {
+            if (hasIdleConnection(endpoint, now) && maxIdleTime(endpoint) < NEVER) {
+                if (now - endpoint.idleConnections.peekLast() > maxIdleTime(endpoint)) {
+                    releaseConnections(endpoint);
                 } else {
-                    wakeUpBy(e.idleConnections.peekLast() + maxIdleTime(e) + tick, now);
-                    rests = false;
+                    wakeUpBy(endpoint.idleConnections.peekLast() + maxIdleTime(endpoint) + tick, now);
+                    idle = false;
                 }
             }
         }
-        return rests;
+        return idle;
     }
 
-    // ---- Cut-off ----
+    // ---- Call timeouts ----
 
     /**
-     * Guards against a receiver where some calls hang while the others are relayed at the usual pace: a hung
-     * call is given up early, while its mail may still be repeated. Harm: the slowest good calls are cut too.
+     * The ordinary timeout of a call. Where some calls of a receiver hang while the others are relayed at the usual latency, a hung call is given up early,
+     * while its mail may still be repeated. The cost: the slowest good calls are cut off too.
      */
-    private long callTimeout(Route r, long now) {
-        int hung = r.timedOut.sum(now);
-        if (hung > 0 && r.relayed.sum(now) >= hung && r.recentLatency < MAX_SAMPLE_LATENCIES * r.typicalLatency) {
-            return (long) (HUNG_CALL_TIMEOUT_LATENCIES * r.typicalLatency);
+    private long callTimeout(Route route, long now) {
+        int hungCalls = route.timedOut.sum(now);
+        if (hungCalls > 0 && route.relayed.sum(now) >= hungCalls && route.recentLatency < MAX_SAMPLE_LATENCIES * route.typicalLatency) {
+            return (long) (HUNG_CALL_TIMEOUT_LATENCIES * route.typicalLatency);
         }
-        return (long) Math.max(MIN_CALL_TIMEOUT * targetDelay, CALL_TIMEOUT_LATENCIES * r.typicalLatency);
+        return (long) Math.max(MIN_CALL_TIMEOUT * targetDelay, CALL_TIMEOUT_LATENCIES * route.typicalLatency);
     }
 
     /**
-     * Whether the mail could be sent again after such a cut-off and be waited for as long. Where not, cutting
-     * saves nothing: guards against losing mails that a slowed receiver would still relay. Harm: a silent
-     * receiver holds their slots for longer.
+     * Whether the mail could be repeated after such a timeout and be waited for as long again. If not, the timeout saves nothing and would lose mails that a
+     * slowed receiver would still relay. The cost: a silent receiver occupies calls for longer.
      */
-    private boolean canRepeatAfterTimeout(Mail m, long cut) {
-        Settings.QueueClass kind = queueClassOf(m);
-        return kind.effect() == Settings.Effect.REDELIVERABLE
-                || kind.effect() == Settings.Effect.TAGGED && kind.deduplicationWindow() >= 2 * cut;
+    private boolean canRepeatAfterTimeout(Mail mail, long timeout) {
+        Settings.QueueClass queueClass = queueClassOf(mail);
+        return queueClass.effect() == Settings.Effect.REDELIVERABLE
+                || queueClass.effect() == Settings.Effect.TAGGED && queueClass.deduplicationWindow() >= 2 * timeout;
     }
 
     /**
-     * Guards the slots where calls with a late cut-off hang at once at many receivers: when no slot is free,
-     * the oldest call past the ordinary cut-off is called off, and counts as timed out. Harm: its mails may
-     * be lost.
+     * Cancels the oldest call that is past the ordinary timeout; it counts as timed out. Called when no further call may start, as calls with a long timeout
+     * may hang at many receivers at once. The cost: the mails of the call may be lost.
      */
     private void cancelOldestOverdueCall(long now) {
         Call oldest = null;
-        for (Destination d : activeDestinations) {
-            for (Route r : d.routes) {
-                for (Call call : r.calls) {
+        for (Destination destination : activeDestinations) {
+            for (Route route : destination.routes) {
+                for (Call call : route.calls) {
                     boolean older = oldest == null || call.sentAt < oldest.sentAt;
-                    if (older && now - call.sentAt > callTimeout(r, now)) {
+                    if (older && now - call.sentAt > callTimeout(route, now)) {
                         oldest = call;
                     }
                 }
@@ -650,142 +718,148 @@
         }
         if (oldest != null && !oldest.cancelled) {
             oldest.cancelled = true;
-            oldest.attempts.forEach(c -> actions.add(new Action.Cancel(c)));
+            oldest.attempts.forEach(attempt -> actions.add(new Action.Cancel(attempt)));
         }
     }
 
-    // ---- What an outcome teaches ----
+    // ---- Learning from outcomes ----
 
-    private void recordOutcome(DeliveryAttempt c, Outcome outcome, long now) {
-        Route r = c.endpoint.route;
-        if (r.breaker.trial == c) {
-            r.breaker.trial = null;
-            r.lastUsedAt = now;
-        } else if (c.call.outcomeCounted) {
+    /** Updates the route and its circuit breaker by the outcome of an attempt; only the first outcome of a call counts, and that of a trial. */
+    private void recordOutcome(DeliveryAttempt attempt, Outcome outcome, long now) {
+        Route route = attempt.endpoint.route;
+        if (route.breaker.trial == attempt) {
+            route.breaker.trial = null;
+            route.lastUsedAt = now;
+        } else if (attempt.call.outcomeCounted) {
             return;
         }
-        c.call.outcomeCounted = true;
-        boolean atCap = outcome instanceof Outcome.ConnectFailed && !c.trial && now - r.lastRelayedAt < targetDelay;
-        boolean first = outcome instanceof Outcome.ConnectFailed && r.unreachableSince <= r.lastRelayedAt;
-        r.unreachableSince = first ? now : r.unreachableSince;
-        r.downSince = r.downSince <= r.lastRelayedAt ? now : r.downSince;
+        attempt.call.outcomeCounted = true;
+        // A connect that fails shortly after a relayed mail may have met a limit on connections: the endpoint is up.
+        boolean atConnectionCap = outcome instanceof Outcome.ConnectFailed && !attempt.trial && now - route.lastRelayedAt < targetDelay;
+        boolean firstUnreachable = outcome instanceof Outcome.ConnectFailed && route.unreachableSince <= route.lastRelayedAt;
+        route.unreachableSince = firstUnreachable ? now : route.unreachableSince;
+        route.downSince = route.downSince <= route.lastRelayedAt ? now : route.downSince;
         if (outcome instanceof Outcome.Delivered) {
-            onRelayed(r, c, now);
-        } else if (outcome instanceof Outcome.Rejected full) {
-            onRejected(r, full.retryAfter(), now);
-        } else if (atCap && connectionScores[r.kind] < provenConnectionScore) {
-            c.endpoint.concurrencyLimit = Math.max(1, c.endpoint.inFlight);
-            c.endpoint.concurrencyLimitSetAt = now;
-            backOff(r, 0, false, now);
-        } else if (!(outcome instanceof Outcome.NotSent || outcome instanceof Outcome.ConnectionLost && c.reusedConnection)) {
-            // A kept connection that breaks tells of itself; a new one would tell of the receiver.
-            onFailed(r, c, outcome, now);
-        }
-    }
-
-    private void onRelayed(Route r, DeliveryAttempt c, long now) {
-        r.relayed.add(now);
-        boolean brief = r.unreachableSince > r.lastRelayedAt && now - r.unreachableSince < targetDelay / 2;
-        int seen = connectionScores[r.kind] + (brief ? -provenConnectionScore : 1);
-        connectionScores[r.kind] = Math.max(-MAX_CONNECTION_CAP_PROOFS * provenConnectionScore, Math.min(provenConnectionScore, seen));
-        r.lastRelayedAt = now;
-        r.consecutiveBackoffs = 0;
-        // Guards against a node's own standing still: what it then finds took as long as it slept. Covers
-        // a late timer too. Harm: a receiver slowing just then is learnt later.
-        if (now <= scheduledWakeUpAt + LATE_WAKE_UP_TICKS * tick || scheduledWakeUpAt <= lastIterationAt) {
-            long took = now - c.sentAt;
-            r.typicalLatency += Math.max(TYPICAL_LATENCY_WEIGHT, 1.0 / ++r.latencySamples) * (Math.min(took, MAX_SAMPLE_LATENCIES * r.typicalLatency) - r.typicalLatency);
-            r.recentLatency += RECENT_LATENCY_WEIGHT * (took - r.recentLatency);
+            onRelayed(route, attempt, now);
+        } else if (outcome instanceof Outcome.Rejected rejected) {
+            onRejected(route, rejected.retryAfter(), now);
+        } else if (atConnectionCap && connectionScores[route.kind] < provenConnectionScore) {
+            attempt.endpoint.concurrencyLimit = Math.max(1, attempt.endpoint.inFlight);
+            attempt.endpoint.concurrencyLimitSetAt = now;
+            backOff(route, 0, false, now);
+        } else if (!(outcome instanceof Outcome.NotSent || outcome instanceof Outcome.ConnectionLost && attempt.reusedConnection)) {
+            // A reused connection that breaks says nothing of the receiver; a new one would.
+            onFailed(route, attempt, outcome, now);
         }
-        c.endpoint.consecutiveFailures = 0;
-        c.endpoint.lastRelayedAt = now;
-        r.slowStartRampAt = r.inSlowStart && r.slowStartRampAt == NEVER ? now : r.slowStartRampAt;
-        circuitBreaker.onDelivered(r, c, now);
     }
 
-    private void onRejected(Route r, long wait, long now) {
-        backOff(r, wait, true, now);
-        // A full that reports allowance left met a moment's rush, or the report is late: down to the part at
-        // most.
-        boolean rush = RateLimiter.rejectedInBurst(r, now);
-        if (!rush) {
-            r.rejected.add(now);
+    /** A mail was relayed: updates the latencies of the route, and whether its kind accepts connections from all nodes. */
+    private void onRelayed(Route route, DeliveryAttempt attempt, long now) {
+        route.relayed.add(now);
+        // Connects that failed only shortly before this relayed mail met a limit on connections, not an outage.
+        boolean brieflyUnreachable = route.unreachableSince > route.lastRelayedAt && now - route.unreachableSince < targetDelay / 2;
+        int score = connectionScores[route.kind] + (brieflyUnreachable ? -provenConnectionScore : 1);
+        connectionScores[route.kind] = Math.max(-MAX_CONNECTION_CAP_PROOFS * provenConnectionScore, Math.min(provenConnectionScore, score));
+        route.lastRelayedAt = now;
+        route.consecutiveBackoffs = 0;
+        // Not if this node itself was stalled, also by a late timer: what ended meanwhile would seem to have taken as long as the stall. The cost: a receiver
+        // that slows down just then is noticed later.
+        if (now <= scheduledWakeUpAt + LATE_WAKE_UP_TICKS * tick || scheduledWakeUpAt <= lastIterationAt) {
+            long duration = now - attempt.sentAt;
+            route.typicalLatency += Math.max(TYPICAL_LATENCY_WEIGHT, 1.0 / ++route.latencySamples)
+                    * (Math.min(duration, MAX_SAMPLE_LATENCIES * route.typicalLatency) - route.typicalLatency);
+            route.recentLatency += RECENT_LATENCY_WEIGHT * (duration - route.recentLatency);
+        }
+        attempt.endpoint.consecutiveFailures = 0;
+        attempt.endpoint.lastRelayedAt = now;
+        route.slowStartRampAt = route.inSlowStart && route.slowStartRampAt == NEVER ? now : route.slowStartRampAt;
+        circuitBreaker.onDelivered(route, attempt, now);
+    }
+
+    /** A receiver rejected an attempt: backs off, and lowers the share of its limit that this node uses. */
+    private void onRejected(Route route, long retryAfter, long now) {
+        backOff(route, retryAfter, true, now);
+        // A rejection that reports allowance left met a short burst, or the report is late: the share falls no further than to the even one.
+        boolean inBurst = RateLimiter.rejectedInBurst(route, now);
+        if (!inBurst) {
+            route.rejected.add(now);
         }
-        if (now - r.shareReducedAt > r.typicalLatency) {
-            // Drawn here, and only where it is used: the same draws in the same order.
-            rateLimiter.onRejection(r, rush ? 0 : randomFraction(now), now);
+        if (now - route.shareReducedAt > route.typicalLatency) {
+            // The random number is drawn here, and only where it is used: a seed then gives the same numbers in the same order.
+            rateLimiter.onRejection(route, inBurst ? 0 : randomFraction(now), now);
         }
-        if (rush) {
+        if (inBurst) {
             return;
         }
-        if (r.consecutiveBackoffs >= SLOW_START_BACKOFFS && now - r.lastRelayedAt > SLOW_START_WITHOUT_RELAY * targetDelay) {
-            r.inSlowStart = true;
-            r.slowStartRampAt = NEVER;
+        if (route.consecutiveBackoffs >= SLOW_START_BACKOFFS && now - route.lastRelayedAt > SLOW_START_WITHOUT_RELAY * targetDelay) {
+            route.inSlowStart = true;
+            route.slowStartRampAt = NEVER;
         }
     }
 
     /**
-     * Holds a route that was full for the told wait, or else doubling. Guards a shut receiver, and one whose
-     * limit refused calls use up, against many nodes that come again together: where it has relayed none for
-     * long, each comes by chance in the time that all need. Harm: an opened receiver idles for a part of it.
+     * Blocks a route after a rejection or a failure: for the Retry-After, or else for a delay that doubles. Many nodes must not return together to a receiver
+     * that is shut, or whose limit rejected calls use up: where it has relayed nothing for long, each node returns at a random time within the time that all
+     * nodes need. The cost: a receiver that accepts again is idle for a part of that time.
      */
-    private void backOff(Route r, long wait, boolean full, long now) {
-        boolean none = full && now - r.lastRelayedAt > targetDelay;
-        boolean scarce = !none && r.limitReported && r.allowanceReportedAt == now && r.allowance <= RateLimiter.SCARCE_ALLOWANCE;
-        double gap = none ? Math.max(r.typicalLatency, rateLimiter.messageInterval(r, now) * (1 + randomFraction(wait))) : r.typicalLatency;
-        gap = Math.min(2 * targetDelay, gap * Math.scalb(1.0, Math.min(r.consecutiveBackoffs++, MAX_BACKOFF_DOUBLINGS)));
-        // A limit that relays is shared by pace: by chance each skips one of its turns in the mean, and no
-        // more.
-        gap = scarce ? 2 * rateLimiter.messageInterval(r, now) * randomFraction(wait) : gap;
-        if (now + wait - r.downSince > targetDelay) {
-            gap = Math.max(wait > 0 ? 0 : gap, 2 * circuitBreaker.coolDownDuration(r, now + wait) * randomFraction(r.downSince));
-        } else if (wait > 0) {
-            gap = now - r.lastRelayedAt > targetDelay ? 2 * rateLimiter.messageInterval(r, now) * randomFraction(wait) : 0;
-        }
-        r.backoffUntil = Math.max(r.backoffUntil, now + wait + (long) gap);
-    }
-
-    private void onFailed(Route r, DeliveryAttempt c, Outcome outcome, long now) {
-        r.failed.add(now);
+    private void backOff(Route route, long retryAfter, boolean rejected, long now) {
+        boolean noRecentRelay = rejected && now - route.lastRelayedAt > targetDelay;
+        boolean allowanceScarce = !noRecentRelay && route.limitReported && route.allowanceReportedAt == now && route.allowance <= RateLimiter.SCARCE_ALLOWANCE;
+        double delay = noRecentRelay ? Math.max(route.typicalLatency, rateLimiter.messageInterval(route, now) * (1 + randomFraction(retryAfter))) : route.typicalLatency;
+        delay = Math.min(2 * targetDelay, delay * Math.scalb(1.0, Math.min(route.consecutiveBackoffs++, MAX_BACKOFF_DOUBLINGS)));
+        // A limit under which mails are relayed is shared by the rate of each node: at random each skips one of its tokens in the mean, and no more.
+        delay = allowanceScarce ? 2 * rateLimiter.messageInterval(route, now) * randomFraction(retryAfter) : delay;
+        if (now + retryAfter - route.downSince > targetDelay) {
+            delay = Math.max(retryAfter > 0 ? 0 : delay, 2 * circuitBreaker.coolDownDuration(route, now + retryAfter) * randomFraction(route.downSince));
+        } else if (retryAfter > 0) {
+            delay = now - route.lastRelayedAt > targetDelay ? 2 * rateLimiter.messageInterval(route, now) * randomFraction(retryAfter) : 0;
+        }
+        route.backoffUntil = Math.max(route.backoffUntil, now + retryAfter + (long) delay);
+    }
+
+    /** An attempt failed: counts it for endpoint and circuit breaker, backs off, and puts the route into slow start or opens the breaker. */
+    private void onFailed(Route route, DeliveryAttempt attempt, Outcome outcome, long now) {
+        route.failed.add(now);
         if (outcome instanceof Outcome.TimedOut || outcome instanceof Outcome.Cancelled) {
-            r.timedOut.add(now);
-        }
-        c.endpoint.consecutiveFailures++;
-        c.endpoint.lastFailedAt = now;
-        CircuitBreakerState b = r.breaker;
-        if (b.phase == CircuitBreakerState.Phase.HALF_OPEN && c.trial) {
-            circuitBreaker.open(r, outcome, now);
-        } else if (b.phase == CircuitBreakerState.Phase.CLOSED && c.sentAt >= b.closedAt) {
-            b.consecutiveFailures++;
-            backOff(r, 0, false, now);
-            // Guards a route among siblings against many nodes that fail there once: others can be tried, so
-            // the first failure with no relay of late paces it as cold; where a node is sparse the second in a
-            // row, as it may not see a third. Not the first there: that pace is a mail in half a minute.
-            boolean spare = now - r.lastRelayedAt > targetDelay && (c.endpoint.destination.routes.size() > 1
-                    || rateLimiter.sparseness(r) >= 1 && b.consecutiveFailures >= SUSPECT_FAILURES);
-            if (spare || circuitBreaker.suspectsOutage(r, now)) {
-                r.inSlowStart = true;
-                r.slowStartRampAt = NEVER;
+            route.timedOut.add(now);
+        }
+        attempt.endpoint.consecutiveFailures++;
+        attempt.endpoint.lastFailedAt = now;
+        CircuitBreakerState breaker = route.breaker;
+        if (breaker.phase == CircuitBreakerState.Phase.HALF_OPEN && attempt.trial) {
+            circuitBreaker.open(route, outcome, now);
+        } else if (breaker.phase == CircuitBreakerState.Phase.CLOSED && attempt.sentAt >= breaker.closedAt) {
+            breaker.consecutiveFailures++;
+            backOff(route, 0, false, now);
+            // Begins slow start early if nothing was relayed of late, as many nodes may each fail once at the same route: at the first failure where sibling
+            // routes can be tried instead; at the second consecutive one where a node is sparse, as it may not see a third. Not at its first there: the rate
+            // would be one mail in half a minute.
+            boolean earlySlowStart = now - route.lastRelayedAt > targetDelay && (attempt.endpoint.destination.routes.size() > 1
+                    || rateLimiter.sparseness(route) >= 1 && breaker.consecutiveFailures >= SUSPECT_FAILURES);
+            if (earlySlowStart || circuitBreaker.suspectsOutage(route, now)) {
+                route.inSlowStart = true;
+                route.slowStartRampAt = NEVER;
             }
-            if (circuitBreaker.shouldOpen(r, now)) {
-                circuitBreaker.open(r, outcome, now);
+            if (circuitBreaker.shouldOpen(route, now)) {
+                circuitBreaker.open(route, outcome, now);
             }
         }
     }
 
-    // ---- Lane ----
+    // ---- Degraded routes: a bulkhead limits the calls that they hold ----
 
-    private boolean isDegraded(Route r, long now) {
-        if (r.inSlowStart && r.slowStartRampAt == NEVER || r.breaker.phase != CircuitBreakerState.Phase.CLOSED) {
+    /** Whether the route is down, unhealthy or slow: it may then have one call in flight only, of the part of the calls that all such routes share. */
+    private boolean isDegraded(Route route, long now) {
+        if (route.inSlowStart && route.slowStartRampAt == NEVER || route.breaker.phase != CircuitBreakerState.Phase.CLOSED) {
             return true;
         }
-        // Guards the slots against a receiver that answers, but many times slower than it used to: its calls
-        // would fill them all. Harm: one slower for good waits in the lane until its usual time is learnt.
-        if (r.recentLatency > DEGRADED_LATENCIES * r.typicalLatency) {
+        // A receiver that answers, but many times slower than it used to, would fill all calls in flight. The cost: a receiver that is slower for good is
+        // limited until its typical latency is learnt.
+        if (route.recentLatency > DEGRADED_LATENCIES * route.typicalLatency) {
             return true;
         }
-        for (Call call : r.calls) {
-            if (now - call.sentAt > OVERDUE_LATENCIES * r.typicalLatency && r.lastRelayedAt < call.sentAt) {
+        for (Call call : route.calls) {
+            if (now - call.sentAt > OVERDUE_LATENCIES * route.typicalLatency && route.lastRelayedAt < call.sentAt) {
                 return true;
             }
         }
@@ -793,170 +867,179 @@
     }
 
     private int degradedCallsInFlight(long now) {
-        int out = 0;
-        for (Destination d : activeDestinations) {
-            for (Route r : d.routes) {
-                out += isDegraded(r, now) ? r.calls.size() : 0;
+        int count = 0;
+        for (Destination destination : activeDestinations) {
+            for (Route route : destination.routes) {
+                count += isDegraded(route, now) ? route.calls.size() : 0;
             }
         }
-        return out;
+        return count;
     }
 
-    // ---- Further connects and endings ----
+    // ---- Retries and endings ----
 
-    private void retryOrEnd(Mail m, Outcome outcome, long now) {
-        EndReason reason = m.attempts.size() >= maxAttempts ? EndReason.ATTEMPTS_USED_UP
-                : now + typicalLatencyOf(m.destination) > m.deadline ? EndReason.DEADLINE : canRepeatInWindow(m, now) ? null : EndReason.REPEAT_WINDOW_OVER;
+    /** Queues a mail whose attempt did not deliver for another one, in the order of arrival, or ends it if none is possible. */
+    private void retryOrEnd(Mail mail, Outcome outcome, long now) {
+        EndReason reason = mail.attempts.size() >= maxAttempts ? EndReason.ATTEMPTS_USED_UP
+                : now + typicalLatencyOf(mail.destination) > mail.deadline ? EndReason.DEADLINE : canRepeatInWindow(mail, now) ? null : EndReason.REPEAT_WINDOW_OVER;
         if (reason != null) {
-            endUndelivered(m, 0, reason, now);
+            endUndelivered(mail, 0, reason, now);
             return;
         }
-        // Guards a down receiver against quick tries of many nodes, each too few to open a breaker: a failed
-        // mail goes again by the node's part. Harm: one that met a stray failure waits where nodes are many.
+        // Many nodes retrying quickly, each with too few attempts to open a circuit breaker, would load a receiver that is down: a failed mail is retried at
+        // the rate of the fair share of this node. The cost: a mail that met a stray failure waits where nodes are many.
         if (outcome instanceof Outcome.ConnectFailed || !outcome.neverRan()) {
-            m.notBefore = now + (long) (rateLimiter.messageInterval(lastEndpoint(m).route, now) * randomFraction(m.id));
+            mail.notBefore = now + (long) (rateLimiter.messageInterval(lastEndpoint(mail).route, now) * randomFraction(mail.id));
         }
-        int at = m.destination.queue.size();
-        while (at > 0 && m.destination.queue.get(at - 1).sequence > m.sequence) {
-            at--;
+        int position = mail.destination.queue.size();
+        while (position > 0 && mail.destination.queue.get(position - 1).sequence > mail.sequence) {
+            position--;
         }
-        enqueue(m, at);
+        enqueue(mail, position);
     }
 
-    /** Whether some endpoint may still be sent the mail in the time that its repeats are noticed. */
-    private boolean canRepeatInWindow(Mail m, long now) {
-        for (Endpoint e : m.destination.endpoints) {
-            long opens = e.route.breaker.phase == CircuitBreakerState.Phase.OPEN ? e.route.breaker.openUntil : now;
-            if (e.ready && retryPolicy.mayAttempt(m, e, Math.max(now, Math.max(opens, e.route.backoffUntil)))) {
+    /** Whether the mail may still be sent to some endpoint while its repeats are recognized. */
+    private boolean canRepeatInWindow(Mail mail, long now) {
+        for (Endpoint endpoint : mail.destination.endpoints) {
+            long opensAt = endpoint.route.breaker.phase == CircuitBreakerState.Phase.OPEN ? endpoint.route.breaker.openUntil : now;
+            if (endpoint.ready && retryPolicy.mayAttempt(mail, endpoint, Math.max(now, Math.max(opensAt, endpoint.route.backoffUntil)))) {
                 return true;
             }
         }
-        return m.destination.endpoints.isEmpty();
+        return mail.destination.endpoints.isEmpty();
     }
 
+    /** Ends queued mails whose time is over or that cannot be sent any more. */
     private void endExpiredMails(long now) {
-        for (Destination d : activeDestinations) {
-            for (int i = d.queue.size() - 1; i >= 0; i--) {
-                Mail m = d.queue.get(i);
-                // Guards mails whose tries an earlier process has used up: they end at once. And endings of a node that is
-                // short of its core: they come before their time by as much as its wakes came after theirs.
-                EndReason reason = now + 3 * tick + wakeUpLateness >= m.deadline ? EndReason.DEADLINE
-                        : m.attempts.size() >= maxAttempts ? EndReason.ATTEMPTS_USED_UP
-                        : RetryPolicy.mayHaveRun(m) && !canRepeatInWindow(m, now) ? EndReason.REPEAT_WINDOW_OVER : null;
+        for (Destination destination : activeDestinations) {
+            for (int i = destination.queue.size() - 1; i >= 0; i--) {
+                Mail mail = destination.queue.get(i);
+                // Mails whose attempts an earlier process has used up end at once. On a node short of CPU time, mails end earlier by as much as its wake-ups
+                // were late, as their endings would be late too.
+                EndReason reason = now + 3 * tick + wakeUpLateness >= mail.deadline ? EndReason.DEADLINE
+                        : mail.attempts.size() >= maxAttempts ? EndReason.ATTEMPTS_USED_UP
+                        : RetryPolicy.mayHaveRun(mail) && !canRepeatInWindow(mail, now) ? EndReason.REPEAT_WINDOW_OVER : null;
                 if (reason != null) {
-                    endUndelivered(m, expectedWait(d, 0, now), reason, now);
+                    endUndelivered(mail, expectedWait(destination, 0, now), reason, now);
                 } else {
-                    wakeUpBy(m.deadline - 3 * tick - wakeUpLateness, now);
-                    wakeUpBy(isRecoveredUnattempted(m) ? lastChanceAt(m) : now, now);
+                    wakeUpBy(mail.deadline - 3 * tick - wakeUpLateness, now);
+                    wakeUpBy(isRecoveredUnattempted(mail) ? lastChanceAt(mail) : now, now);
                 }
             }
         }
     }
 
-    /** The door of every ending. */
-    private void endUndelivered(Mail m, long wait, EndReason reason, long now) {
-        if (m.finished) {
+    /** Ends a mail undelivered: deferred where submitting it again is harmless, else bounced. All such endings go through this method. */
+    private void endUndelivered(Mail mail, long expectedWait, EndReason reason, long now) {
+        if (mail.finished) {
             return;
         }
-        long after = Math.min(wait, maxRetryAfter);
-        actions.add(retryPolicy.mayDefer(m, now) ? new Action.Defer(m, after, reason) : new Action.Bounce(m, reason));
-        finish(m);
-        removeFromOrderKey(m);
+        long retryAfter = Math.min(expectedWait, maxRetryAfter);
+        actions.add(retryPolicy.mayDefer(mail, now) ? new Action.Defer(mail, retryAfter, reason) : new Action.Bounce(mail, reason));
+        finish(mail);
+        removeFromOrderKey(mail);
     }
 
-    private void finish(Mail m) {
-        if (!m.finished) {
-            m.finished = true;
+    /** The decisions are done with the mail; attempts in flight may still end. */
+    private void finish(Mail mail) {
+        if (!mail.finished) {
+            mail.finished = true;
             heldMails--;
-            m.destination.queue.remove(m);
+            mail.destination.queue.remove(mail);
         }
     }
 
-    private void removeFromOrderKey(Mail m) {
-        if (m.orderKey != null && m.finished && m.inFlight == 0) {
-            m.orderKey.mails.remove(m);
+    /** Lets the next mail of the order key go, once the mail is finished and no attempt is in flight. */
+    private void removeFromOrderKey(Mail mail) {
+        if (mail.orderKey != null && mail.finished && mail.inFlight == 0) {
+            mail.orderKey.mails.remove(mail);
         }
     }
 
-    // ---- List ----
+    // ---- Queue and endpoint list ----
 
-    private void enqueue(Mail m, int at) {
-        m.destination.queue.add(at, m);
-        if (!m.destination.busy) {
-            m.destination.busy = true;
-            activeDestinations.add(m.destination);
+    /** Inserts the mail into the queue of its destination and makes the destination active. */
+    private void enqueue(Mail mail, int position) {
+        mail.destination.queue.add(position, mail);
+        if (!mail.destination.busy) {
+            mail.destination.busy = true;
+            activeDestinations.add(mail.destination);
         }
     }
 
-    private void addEndpoint(Endpoint e, long now) {
-        if (e.listed) {
+    /** Adds a newly listed endpoint to its destination, with a route of its own or the shared one. */
+    private void addEndpoint(Endpoint endpoint, long now) {
+        if (endpoint.listed) {
             return;
         }
-        e.listed = true;
-        if (!e.destination.listed) {
-            e.destination.listed = true;
-            destinations.add(e.destination);
-        }
-        List<Route> routes = e.destination.routes;
-        boolean apart = e.kind < kinds.size() && kinds.get(e.kind).routePerEndpoint();
-        if (e.route == null && !apart && !routes.isEmpty()) {
-            e.route = routes.get(routes.size() - 1);
-        } else if (e.route == null) {
-            String name = "destination " + e.destination.number + (apart ? " route " + routes.size() : "");
-            e.route = new Route(name, Math.min(e.kind, kinds.size()), WINDOW_BUCKETS,
+        endpoint.listed = true;
+        if (!endpoint.destination.listed) {
+            endpoint.destination.listed = true;
+            destinations.add(endpoint.destination);
+        }
+        List<Route> routes = endpoint.destination.routes;
+        boolean routePerEndpoint = endpoint.kind < kinds.size() && kinds.get(endpoint.kind).routePerEndpoint();
+        if (endpoint.route == null && !routePerEndpoint && !routes.isEmpty()) {
+            endpoint.route = routes.get(routes.size() - 1);
+        } else if (endpoint.route == null) {
+            String name = "destination " + endpoint.destination.number + (routePerEndpoint ? " route " + routes.size() : "");
+            endpoint.route = new Route(name, Math.min(endpoint.kind, kinds.size()), WINDOW_BUCKETS,
                     (long) (RateLimiter.OUTCOME_WINDOW * targetDelay / WINDOW_BUCKETS), (long) (RateLimiter.ARRIVAL_WINDOW * targetDelay / WINDOW_BUCKETS));
-            e.route.recentLatency = e.route.typicalLatency = INITIAL_LATENCY * targetDelay;
-            e.route.latencySamples = INITIAL_LATENCY_SAMPLES;
-            e.route.shareUpdatedAt = e.route.knownSince = now;
-        }
-        if (!routes.contains(e.route)) {
-            routes.removeIf(r -> r.endpointCount == 0);
-            routes.add(e.route);
-        }
-        e.route.endpointCount++;
-        e.destination.endpoints.add(e);
-        // Guards a destination's first endpoint against all nodes, which see equal costs nearly always: each
-        // has a steady order of its own, so that connections are used again. Harm: none known.
+            endpoint.route.recentLatency = endpoint.route.typicalLatency = INITIAL_LATENCY * targetDelay;
+            endpoint.route.latencySamples = INITIAL_LATENCY_SAMPLES;
+            endpoint.route.shareUpdatedAt = endpoint.route.knownSince = now;
+        }
+        if (!routes.contains(endpoint.route)) {
+            routes.removeIf(route -> route.endpointCount == 0);
+            routes.add(endpoint.route);
+        }
+        endpoint.route.endpointCount++;
+        endpoint.destination.endpoints.add(endpoint);
+        // Costs are equal nearly always, and all nodes would send to the first endpoint of a destination. Each node has a fixed order of its own, so that
+        // connections are reused. No cost is known.
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(12).putInt(nodeIndex).putLong(e.address).array());
-        e.preference = crc.getValue() / (double) (1L << 32);
+        crc.update(ByteBuffer.allocate(12).putInt(nodeIndex).putLong(endpoint.address).array());
+        endpoint.preference = crc.getValue() / (double) (1L << 32);
     }
 
-    /** Guards memory, and the places of those that stay, against endpoints gone for good. */
-    private static void removeEndpoint(Endpoint e) {
-        e.ready = false;
-        if (e.listed) {
-            e.listed = false;
-            e.destination.endpoints.remove(e);
-            e.route.endpointCount--;
-            e.destination.routes.removeIf(r -> r.endpointCount == 0 && e.destination.routes.size() > 1);
+    /** Removes an endpoint that is no longer listed: it would take memory, and reduce the concurrency of those that stay. */
+    private static void removeEndpoint(Endpoint endpoint) {
+        endpoint.ready = false;
+        if (endpoint.listed) {
+            endpoint.listed = false;
+            endpoint.destination.endpoints.remove(endpoint);
+            endpoint.route.endpointCount--;
+            endpoint.destination.routes.removeIf(route -> route.endpointCount == 0 && endpoint.destination.routes.size() > 1);
         }
     }
 
-    // ---- Small helps ----
+    // ---- Helpers ----
 
-    private Settings.QueueClass queueClassOf(Mail m) {
-        return classes.get(m.queueClass);
+    private Settings.QueueClass queueClassOf(Mail mail) {
+        return classes.get(mail.queueClass);
     }
 
-    private int batchSize(Route r) {
-        return r.kind < kinds.size() ? Math.max(1, kinds.get(r.kind).batchSize()) : 1;
+    private int batchSize(Route route) {
+        return route.kind < kinds.size() ? Math.max(1, kinds.get(route.kind).batchSize()) : 1;
     }
 
-    private long typicalLatencyOf(Destination d) {
-        double least = INITIAL_LATENCY * targetDelay;
-        for (int i = 0; i < d.routes.size(); i++) {
-            least = i == 0 ? d.routes.get(i).typicalLatency : Math.min(least, d.routes.get(i).typicalLatency);
+    /** The lowest typical latency of the routes of the destination. */
+    private long typicalLatencyOf(Destination destination) {
+        double minLatency = INITIAL_LATENCY * targetDelay;
+        for (int i = 0; i < destination.routes.size(); i++) {
+            minLatency = i == 0 ? destination.routes.get(i).typicalLatency : Math.min(minLatency, destination.routes.get(i).typicalLatency);
         }
-        return (long) least;
+        return (long) minLatency;
     }
 
+    /** The next wake-up is to be no later than this instant, if that is in the future. */
     private void wakeUpBy(long at, long now) {
         if (at > now) {
             nextWakeUpAt = Math.min(nextWakeUpAt, at);
         }
     }
 
+    /** A pseudorandom number from 0 to below 1, by the seed, the node, this id and the count of numbers drawn so far. */
     private double randomFraction(long id) {
         CRC32 crc = new CRC32();
         ByteBuffer bytes = ByteBuffer.allocate(28);
