--- a/decisions/src/main/java/wrenreach/CircuitBreaker.java
+++ b/decisions/src/main/java/wrenreach/CircuitBreaker.java
@@ -9,28 +9,34 @@
 import wrenreach.state.Route;
 
 /**
- * The circuit breaker of each route: opened by a run of failures or by most of the recent outcomes failing, half-open for one trial at a
- * time once its cool-down is over, closed by two trials in a row that deliver.
+ * The circuit breakers of the routes of one node. A breaker opens after a number of consecutive failures, or when most of the recent outcomes are failures.
+ * It is half-open, for one trial at a time, once its cool-down is over, and closes after two consecutive trials that relay their mail.
  *
- * <p>Departures from the source: the cool-down is a part of the target delay in place of 300 s, as messages live for seconds, and grows
- * with the nodes that may have messages for the route; a run is shorter where a route sees few calls. Times in microseconds. The state
- * is in {@link Breaker}; owned by the decisions of one node.
+ * <p>Departures from the usual pattern: the cool-down is a part of the target delay instead of 300 s, as mails live for seconds, and grows with the number of
+ * nodes that may have mails for the route; fewer consecutive failures open the breaker of a route with few calls. Times are in microseconds. The state is in
+ * {@link CircuitBreakerState}; owned by the decisions of one node, not thread-safe.
  */
 final class CircuitBreaker {
-    private static final double SECOND = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
     private static final long NEVER = Long.MAX_VALUE;
-    /** Failures in a row that open, trials that close. */
-    private static final int FAILURES_TO_OPEN = 8, TRIALS_TO_CLOSE = 2;
-    /** The least run: fewer is what a stray failure or two can make. It holds where a route sees under 16 calls in the window. */
+    /** Consecutive failures that open a breaker. */
+    private static final int FAILURES_TO_OPEN = 8;
+    /** Consecutive trials that have to relay their mail before a breaker closes. */
+    private static final int TRIALS_TO_CLOSE = 2;
+    /** Lower bound of FAILURES_TO_OPEN, which applies to a route with fewer than 16 calls in the window: one or two may be stray failures. */
     static final int MIN_FAILURES = 3;
-    /** Shares of the window's outcomes: an outage is most calls failing. */
-    private static final double OPEN_FAILURE_SHARE = 0.75, SUSPECT_FAILURE_SHARE = 0.5;
-    /** A breaker of a route that was not used for so long starts anew. */
+    /** Share of failures among the outcomes in the window that opens a breaker: an outage means that most calls fail. */
+    private static final double OPEN_FAILURE_SHARE = 0.75;
+    /** Share of failures among the outcomes in the window from which an outage is suspected. */
+    private static final double SUSPECT_FAILURE_SHARE = 0.5;
+    /** Microseconds after which the breaker of an unused route is closed again. */
     private static final long UNUSED_RESET_TIME = 60_000_000;
-    /** Ratio to the target delay: the shortest cool-down, which leaves time for another attempt within it. */
+    /** The shortest cool-down, as a ratio to the target delay: it leaves time for another attempt within the target delay. */
     static final double MIN_COOL_DOWN = 0.4;
-    /** The part of a short cool-down that is drawn, and the part of what a returning receiver bears that trials may take. */
-    private static final double COOL_DOWN_JITTER = 0.3, TRIAL_LOAD_SHARE = 1.0;
+    /** The largest random part that is added to the shortest cool-down, as a ratio to it. */
+    private static final double COOL_DOWN_JITTER = 0.3;
+    /** The share of the load that a returning receiver can bear which trials may use. */
+    private static final double TRIAL_LOAD_SHARE = 1.0;
 
     private final int nodeCount;
     private final double slowStartInitialShare, overloadFactor;
@@ -39,99 +45,105 @@
     private final LongToDoubleFunction randomFraction;
     private final ObjLongConsumer<String> log;
 
-    /** draw: a number from 0 to 1 by an id; log: takes a route's name with what its breaker did, and when. */
-    CircuitBreaker(Settings settings, long target, RateLimiter rates, LongToDoubleFunction draw, ObjLongConsumer<String> log) {
+    /**
+     * targetDelay: the shortest of all queue classes; randomFraction: a random number from 0 to 1 for an id; log: takes a text, the name of a route and what
+     * its breaker did, and the time of that.
+     */
+    CircuitBreaker(Settings settings, long targetDelay, RateLimiter rateLimiter, LongToDoubleFunction randomFraction, ObjLongConsumer<String> log) {
         nodeCount = settings.nodeCount();
         slowStartInitialShare = settings.rules().slowStartInitialShare();
         overloadFactor = settings.rules().overloadFactor();
-        this.targetDelay = target;
-        this.rateLimiter = rates;
-        this.randomFraction = draw;
+        this.targetDelay = targetDelay;
+        this.rateLimiter = rateLimiter;
+        this.randomFraction = randomFraction;
         this.log = log;
     }
 
-    /** Whether an attempt may be made now; where the cool-down is not over, {@link Breaker#restsUntil} tells when it is. */
-    boolean allows(Route r, long now) {
-        CircuitBreakerState b = r.breaker;
-        if (b.phase != CircuitBreakerState.Phase.CLOSED && now - r.lastUsedAt > UNUSED_RESET_TIME) {
-            close(b, now);
+    /** Whether an attempt may be made now. During the cool-down it may not; {@link CircuitBreakerState#openUntil} is when that ends. */
+    boolean allows(Route route, long now) {
+        CircuitBreakerState breaker = route.breaker;
+        if (breaker.phase != CircuitBreakerState.Phase.CLOSED && now - route.lastUsedAt > UNUSED_RESET_TIME) {
+            close(breaker, now);
         }
-        if (isCoolingDown(r, now)) {
+        if (isCoolingDown(route, now)) {
             return false;
         }
-        return b.phase == CircuitBreakerState.Phase.CLOSED || b.trial == null;
+        return breaker.phase == CircuitBreakerState.Phase.CLOSED || breaker.trial == null;
     }
 
-    /** Whether it is open and its cool-down is not over. */
-    boolean isCoolingDown(Route r, long now) {
-        return r.breaker.phase == CircuitBreakerState.Phase.OPEN && now < r.breaker.openUntil;
+    /** Whether the breaker is open and its cool-down is not over. */
+    boolean isCoolingDown(Route route, long now) {
+        return route.breaker.phase == CircuitBreakerState.Phase.OPEN && now < route.breaker.openUntil;
     }
 
-    /** An attempt is made: the trial, unless the breaker is closed. */
-    void onAttempt(Route r, DeliveryAttempt attempt) {
-        if (r.breaker.phase != CircuitBreakerState.Phase.CLOSED) {
-            r.breaker.phase = CircuitBreakerState.Phase.HALF_OPEN;
-            r.breaker.trial = attempt;
+    /** Called when an attempt starts: it is the trial, unless the breaker is closed. */
+    void onAttempt(Route route, DeliveryAttempt attempt) {
+        if (route.breaker.phase != CircuitBreakerState.Phase.CLOSED) {
+            route.breaker.phase = CircuitBreakerState.Phase.HALF_OPEN;
+            route.breaker.trial = attempt;
             attempt.trial = true;
         }
     }
 
-    /** An attempt has delivered its message. */
-    void onDelivered(Route r, DeliveryAttempt attempt, long now) {
-        CircuitBreakerState b = r.breaker;
-        if (b.phase == CircuitBreakerState.Phase.CLOSED) {
-            b.consecutiveFailures = 0;
-        } else if (b.phase == CircuitBreakerState.Phase.HALF_OPEN && attempt.trial && ++b.successfulTrials >= TRIALS_TO_CLOSE) {
-            close(b, now);
-            log.accept(r.name + ": breaker closed after " + TRIALS_TO_CLOSE + " trials relayed", now);
+    /** Called when an attempt has relayed its mail: counts trials and closes the breaker after enough of them. */
+    void onDelivered(Route route, DeliveryAttempt attempt, long now) {
+        CircuitBreakerState breaker = route.breaker;
+        if (breaker.phase == CircuitBreakerState.Phase.CLOSED) {
+            breaker.consecutiveFailures = 0;
+        } else if (breaker.phase == CircuitBreakerState.Phase.HALF_OPEN && attempt.trial && ++breaker.successfulTrials >= TRIALS_TO_CLOSE) {
+            close(breaker, now);
+            log.accept(route.name + ": breaker closed after " + TRIALS_TO_CLOSE + " trials relayed", now);
         }
     }
 
-    /** Whether so many failures, in a row or of late, are more than stray ones: the route goes into slow start. */
-    boolean suspectsOutage(Route r, long now) {
-        return r.breaker.consecutiveFailures >= MIN_FAILURES || failureShareReached(r, SUSPECT_FAILURE_SHARE, now);
+    /** Whether there are more failures, consecutive or recent, than stray ones would make: the route then goes into slow start. */
+    boolean suspectsOutage(Route route, long now) {
+        return route.breaker.consecutiveFailures >= MIN_FAILURES || failureShareReached(route, SUSPECT_FAILURE_SHARE, now);
     }
 
-    /** Whether a closed breaker is to open. */
-    boolean shouldOpen(Route r, long now) {
-        int run = Math.max(MIN_FAILURES, Math.min(FAILURES_TO_OPEN, r.sent.sum(now) / 2));
-        return r.breaker.consecutiveFailures >= run || failureShareReached(r, OPEN_FAILURE_SHARE, now);
+    /** Whether a closed breaker is to be opened. */
+    boolean shouldOpen(Route route, long now) {
+        int failuresToOpen = Math.max(MIN_FAILURES, Math.min(FAILURES_TO_OPEN, route.sent.sum(now) / 2));
+        return route.breaker.consecutiveFailures >= failuresToOpen || failureShareReached(route, OPEN_FAILURE_SHARE, now);
     }
 
-    private static boolean failureShareReached(Route r, double share, long now) {
-        int failed = r.failed.sum(now);
-        return failed >= MIN_FAILURES && failed >= share * (failed + r.relayed.sum(now));
+    /** Whether the window holds enough failures, and they are at least this share of its outcomes. */
+    private static boolean failureShareReached(Route route, double share, long now) {
+        int failed = route.failed.sum(now);
+        return failed >= MIN_FAILURES && failed >= share * (failed + route.relayed.sum(now));
     }
 
-    /** Opens it, or opens it again after a failed trial; the route goes into slow start. */
-    void open(Route r, Outcome outcome, long now) {
-        CircuitBreakerState b = r.breaker;
-        String before = b.phase == CircuitBreakerState.Phase.CLOSED ? "opened" : "reopened";
-        b.phase = CircuitBreakerState.Phase.OPEN;
-        b.openedAt = now;
-        // Where many nodes cool down, they began in step: spread over as long, as over less too many came at once.
-        double coolDown = coolDownDuration(r, now);
-        double drawn = randomFraction.applyAsDouble(b.openedAt);
-        b.openUntil = now + (long) (coolDown * (coolDown > MIN_COOL_DOWN * targetDelay ? 0.5 + drawn : 1 + COOL_DOWN_JITTER * drawn));
-        b.successfulTrials = 0;
-        b.consecutiveFailures = 0;
-        r.inSlowStart = true;
-        r.slowStartRampAt = NEVER;
-        log.accept(r.name + ": breaker " + before + " by " + outcome.getClass().getSimpleName(), now);
+    /** Opens the breaker, or reopens it after a failed trial; the route goes into slow start. */
+    void open(Route route, Outcome outcome, long now) {
+        CircuitBreakerState breaker = route.breaker;
+        String event = breaker.phase == CircuitBreakerState.Phase.CLOSED ? "opened" : "reopened";
+        breaker.phase = CircuitBreakerState.Phase.OPEN;
+        breaker.openedAt = now;
+        // Nodes that cool down together began at the same time: a long cool-down is spread over a time of its own length, as with a shorter spread too many
+        // trials arrived at once.
+        double coolDown = coolDownDuration(route, now);
+        double fraction = randomFraction.applyAsDouble(breaker.openedAt);
+        breaker.openUntil = now + (long) (coolDown * (coolDown > MIN_COOL_DOWN * targetDelay ? 0.5 + fraction : 1 + COOL_DOWN_JITTER * fraction));
+        breaker.successfulTrials = 0;
+        breaker.consecutiveFailures = 0;
+        route.inSlowStart = true;
+        route.slowStartRampAt = NEVER;
+        log.accept(route.name + ": breaker " + event + " by " + outcome.getClass().getSimpleName(), now);
     }
 
     /**
-     * How long the route is left alone. A trial risks one message only, so it is short; but the trials of all nodes that by then may
-     * have a message for it, at most all, are to bring no more than it can do when it returns. An outage ends late at sparse nodes.
+     * How long no trial is made. A trial risks one mail only, so it could be short; but the trials of all nodes that may have a mail for the route by then,
+     * all nodes at most, must not bring more load than it can bear when it returns. The cost: nodes that are sparse notice late that an outage has ended.
      */
-    double coolDownDuration(Route r, long now) {
-        double waiting = Math.min(nodeCount, rateLimiter.limit(r) * (now - r.downSince) / SECOND);
-        return Math.max(MIN_COOL_DOWN * targetDelay, TRIAL_LOAD_SHARE * SECOND * waiting / (overloadFactor * slowStartInitialShare * rateLimiter.limit(r)));
+    double coolDownDuration(Route route, long now) {
+        double waitingNodes = Math.min(nodeCount, rateLimiter.limit(route) * (now - route.downSince) / MICROS_PER_SECOND);
+        return Math.max(MIN_COOL_DOWN * targetDelay, TRIAL_LOAD_SHARE * MICROS_PER_SECOND * waitingNodes
+                / (overloadFactor * slowStartInitialShare * rateLimiter.limit(route)));
     }
 
-    private static void close(CircuitBreakerState b, long now) {
-        b.phase = CircuitBreakerState.Phase.CLOSED;
-        b.consecutiveFailures = 0;
-        b.closedAt = now;
+    private static void close(CircuitBreakerState breaker, long now) {
+        breaker.phase = CircuitBreakerState.Phase.CLOSED;
+        breaker.consecutiveFailures = 0;
+        breaker.closedAt = now;
     }
 }
--- a/decisions/src/main/java/wrenreach/LocalFaultBackoff.java
+++ b/decisions/src/main/java/wrenreach/LocalFaultBackoff.java
@@ -1,34 +1,36 @@
 package wrenreach;
 
 /**
- * How long a message waits before its next attempt when this machine could not make the last one. Exponential backoff with jitter over
- * the attempts that failed so in a row, whatever their destination: a shortage of descriptors or ports is the machine's, not a route's.
+ * How long a mail waits before its next attempt when this machine could not make the last one: exponential backoff with jitter over the consecutive attempts
+ * that failed so, whatever their destination. A shortage of file descriptors or ports belongs to the machine, not to a route.
  *
- * <p>Times in microseconds. Owned by the decisions of one node.
+ * <p>Times are in microseconds. Owned by the decisions of one node, not thread-safe.
  */
 final class LocalFaultBackoff {
-    /** Ratios to the target delay: the first wait is far below it, the longest leaves time for many more attempts within it. */
-    private static final double FIRST_DELAY = 0.005, MAX_DELAY = 0.08;
-    /** The doublings that lead from the first wait to the longest. */
+    /** The delay after the first fault, as a ratio to the target delay: far below it. */
+    private static final double FIRST_DELAY = 0.005;
+    /** The longest delay, as a ratio to the target delay: it leaves time for many more attempts within the target delay. */
+    private static final double MAX_DELAY = 0.08;
+    /** Doublings from the first delay to the longest. */
     private static final int MAX_DOUBLINGS = 4;
-    /** A wait is drawn between this part of it and the whole. */
+    /** A delay is a random one between this part of it and the whole. */
     private static final double MIN_JITTERED_PART = 0.5;
 
     private final long targetDelay;
     private int consecutiveFaults;
 
-    LocalFaultBackoff(long target) {
-        this.targetDelay = target;
+    LocalFaultBackoff(long targetDelay) {
+        this.targetDelay = targetDelay;
     }
 
-    /** The machine could not make an attempt; how long to wait, by a draw from 0 to 1. */
-    long nextDelay(double draw) {
-        double wait = Math.min(MAX_DELAY, Math.scalb(FIRST_DELAY, Math.min(consecutiveFaults, MAX_DOUBLINGS))) * targetDelay;
+    /** Called when this machine could not make an attempt; returns the delay before the next. randomFraction: from 0 to 1. */
+    long nextDelay(double randomFraction) {
+        double delay = Math.min(MAX_DELAY, Math.scalb(FIRST_DELAY, Math.min(consecutiveFaults, MAX_DOUBLINGS))) * targetDelay;
         consecutiveFaults++;
-        return (long) (wait * (MIN_JITTERED_PART + (1 - MIN_JITTERED_PART) * draw));
+        return (long) (delay * (MIN_JITTERED_PART + (1 - MIN_JITTERED_PART) * randomFraction));
     }
 
-    /** The machine has made an attempt, whatever came of it. */
+    /** Called when this machine has made an attempt, whatever its outcome. */
     void reset() {
         consecutiveFaults = 0;
     }
--- a/decisions/src/main/java/wrenreach/RetryPolicy.java
+++ b/decisions/src/main/java/wrenreach/RetryPolicy.java
@@ -7,52 +7,53 @@
 import wrenreach.state.Mail;
 
 /**
- * Which attempts and which endings what a message's earlier attempts may have done still allows: a message that is idempotent by key may
- * be sent again in the window in which its receivers know a repeat as one, a message for at most one effect never.
+ * Decides which further attempts and which endings are allowed after earlier attempts of a mail, which may have taken effect. A mail that receivers recognize
+ * by its tag may be repeated within its deduplication window, a mail that may take effect only once is never repeated.
  *
- * <p>Times in microseconds. Holds no state of its own.
+ * <p>Times are in microseconds. Stateless.
  */
 final class RetryPolicy {
     private final List<Settings.QueueClass> classes;
     private final long tick;
 
-    /** tick: how late a process may be; a repeat has to come so much before its window ends. */
+    /** tick: by how much a process may be late; a repeat has to be sent so much before its window ends. */
     RetryPolicy(List<Settings.QueueClass> classes, long tick) {
         this.classes = classes;
         this.tick = tick;
     }
 
-    /** Whether what the earlier attempts may have done allows one to this endpoint. */
-    boolean mayAttempt(Mail message, Endpoint endpoint, long now) {
-        Settings.QueueClass kind = classes.get(message.queueClass);
-        if (kind.effect() == Settings.Effect.REDELIVERABLE) {
+    /** Whether an attempt at this endpoint is allowed, given what the earlier attempts may have done. */
+    boolean mayAttempt(Mail mail, Endpoint endpoint, long now) {
+        Settings.QueueClass queueClass = classes.get(mail.queueClass);
+        if (queueClass.effect() == Settings.Effect.REDELIVERABLE) {
             return true;
         }
-        for (DeliveryAttempt earlier : message.attempts) {
+        for (DeliveryAttempt earlier : mail.attempts) {
             if (earlier.neverRan) {
                 continue;
             }
-            boolean atMostOnce = kind.effect() == Settings.Effect.ONCE_ONLY;
-            if (atMostOnce || now > deduplicatedUntil(message, earlier) || !inSameScope(kind, earlier.endpoint, endpoint)) {
+            boolean atMostOnce = queueClass.effect() == Settings.Effect.ONCE_ONLY;
+            if (atMostOnce || now > deduplicatedUntil(mail, earlier) || !inSameScope(queueClass, earlier.endpoint, endpoint)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Until when a repeat of what this attempt may have done is known as one. */
-    long deduplicatedUntil(Mail message, DeliveryAttempt attempt) {
-        return attempt.sentAt + classes.get(message.queueClass).deduplicationWindow() - 2 * tick;
+    /** Until when receivers recognize a repeat of this attempt, in case that it took effect. */
+    long deduplicatedUntil(Mail mail, DeliveryAttempt attempt) {
+        return attempt.sentAt + classes.get(mail.queueClass).deduplicationWindow() - 2 * tick;
     }
 
-    private static boolean inSameScope(Settings.QueueClass kind, Endpoint a, Endpoint b) {
-        return a == b || kind.deduplicationScope() == Settings.DeduplicationScope.ALL
-                || kind.deduplicationScope() == Settings.DeduplicationScope.ZONE && a.zone == b.zone;
+    /** Whether the second endpoint recognizes a repeat of what the first one was sent. */
+    private static boolean inSameScope(Settings.QueueClass queueClass, Endpoint a, Endpoint b) {
+        return a == b || queueClass.deduplicationScope() == Settings.DeduplicationScope.ALL
+                || queueClass.deduplicationScope() == Settings.DeduplicationScope.ZONE && a.zone == b.zone;
     }
 
-    /** Whether one of its attempts may have taken effect. */
-    static boolean mayHaveRun(Mail message) {
-        for (DeliveryAttempt attempt : message.attempts) {
+    /** Whether any attempt for the mail may have taken effect. */
+    static boolean mayHaveRun(Mail mail) {
+        for (DeliveryAttempt attempt : mail.attempts) {
             if (!attempt.neverRan) {
                 return true;
             }
@@ -60,15 +61,15 @@
         return false;
     }
 
-    /** Whether the message may end as one whose client may hand it in again without harm. */
-    boolean mayDefer(Mail message, long now) {
-        Settings.QueueClass kind = classes.get(message.queueClass);
-        if (kind.effect() == Settings.Effect.REDELIVERABLE || !mayHaveRun(message)) {
+    /** Whether the mail may end as deferred, that is, whether its client may submit it again without harm. */
+    boolean mayDefer(Mail mail, long now) {
+        Settings.QueueClass queueClass = classes.get(mail.queueClass);
+        if (queueClass.effect() == Settings.Effect.REDELIVERABLE || !mayHaveRun(mail)) {
             return true;
         }
-        if (kind.effect() == Settings.Effect.ONCE_ONLY || kind.deduplicationScope() != Settings.DeduplicationScope.ALL) {
+        if (queueClass.effect() == Settings.Effect.ONCE_ONLY || queueClass.deduplicationScope() != Settings.DeduplicationScope.ALL) {
             return false;
         }
-        return message.attempts.stream().allMatch(attempt -> attempt.neverRan || now <= attempt.sentAt + kind.deduplicationWindow());
+        return mail.attempts.stream().allMatch(attempt -> attempt.neverRan || now <= attempt.sentAt + queueClass.deduplicationWindow());
     }
 }
