--- a/decisions/src/test/java/wrenreach/SlowStartFleetTest.java
+++ b/decisions/src/test/java/wrenreach/SlowStartFleetTest.java
@@ -20,23 +20,38 @@
 import wrenreach.state.Mail;
 
 /**
- * Whole fleets of the module against one receiver that was down and is back cold, in virtual time: what all nodes send together stays
- * under what it bears. Beyond the budget of N calls only twice the root of N, and two, are put down to chance.
+ * A fleet of dispatchers sends to one receiver that was down and returns in slow start, in virtual time: what all nodes send together must stay within what
+ * the receiver bears. Above a budget of N calls only twice the square root of N, plus 2, is accepted as chance. Times are in microseconds.
  */
 class SlowStartFleetTest {
     private static final long MS = 1000, SECOND = 1000 * MS;
-    private static final long DOWN_AT = 8 * SECOND, BACK_AT = 18 * SECOND, SERVICE_TIME = 200 * MS, OVERLOAD_WINDOW = 3 * SECOND, SLOW_START_DURATION = 10 * SECOND;
-    private static final double SLOW_START_INITIAL_SHARE = 0.25, OVERLOAD_FACTOR = 1.5;
+    /** When the receiver goes down. */
+    private static final long DOWN_AT = 8 * SECOND;
+    /** When the receiver is back, in slow start. */
+    private static final long BACK_AT = 18 * SECOND;
+    /** How long the receiver takes for a call. */
+    private static final long SERVICE_TIME = 200 * MS;
+    /** The receiver's load is judged over windows of this length. */
+    private static final long OVERLOAD_WINDOW = 3 * SECOND;
+    /** How long after its return the receiver's capacity rises from SLOW_START_INITIAL_SHARE to the whole. */
+    private static final long SLOW_START_DURATION = 10 * SECOND;
+    /** The part of its capacity with which the receiver returns. */
+    private static final double SLOW_START_INITIAL_SHARE = 0.25;
+    /** The receiver bears so many times its present capacity. */
+    private static final double OVERLOAD_FACTOR = 1.5;
 
     private record ScheduledTask(long at, long sequence, Runnable task) { }
 
-    /** A call; knew: its node had seen one fail in the outage. */
+    /** A call that the receiver got; nodeSawOutage: a call of its node had failed in the outage. */
     private record ReceivedCall(long at, boolean nodeSawOutage) { }
 
-    /** What came to the receiver: the worst window, in parts of its bound, and the part of the budget used on the ramp. */
+    /**
+     * The load of the receiver after its return: worstWindow is the fullest window as a ratio to its bound, of those windows in which more than 2 of 3 calls
+     * come from nodes that saw the outage; budgetUsed is the part of the budget of the whole slow start that was used.
+     */
     private record ReceivedLoad(double worstWindow, double budgetUsed, int calls, double budget) { }
 
-    /** One day of a fleet. */
+    /** Runs a fleet and its receiver in virtual time. */
     private static final class FleetSimulation {
         private final int nodeCount;
         private final double capacity;
@@ -50,51 +65,52 @@
         private double worstWindow;
         private int callCount;
 
-        FleetSimulation(int nodes, double capacity, long seed) {
-            this.nodeCount = nodes;
+        FleetSimulation(int nodeCount, double capacity, long seed) {
+            this.nodeCount = nodeCount;
             this.capacity = capacity;
             random = new SplittableRandom(seed);
-            for (int i = 0; i < nodes; i++) {
+            for (int i = 0; i < nodeCount; i++) {
                 fleet.add(new Node(i, seed));
             }
         }
 
-        private void schedule(long when, Runnable work) {
-            tasks.add(new ScheduledTask(Math.max(when, now), nextSequence++, work));
+        private void schedule(long at, Runnable task) {
+            tasks.add(new ScheduledTask(Math.max(at, now), nextSequence++, task));
         }
 
-        private double windowBudget(long since) {
-            double warm = Math.min(1, (double) since / SLOW_START_DURATION);
-            return OVERLOAD_FACTOR * (SLOW_START_INITIAL_SHARE + (1 - SLOW_START_INITIAL_SHARE) * warm) * capacity * OVERLOAD_WINDOW / SECOND;
+        /** How many calls the receiver bears in a window that ends so long after its return. */
+        private double windowBudget(long sinceReturn) {
+            double rampedPart = Math.min(1, (double) sinceReturn / SLOW_START_DURATION);
+            return OVERLOAD_FACTOR * (SLOW_START_INITIAL_SHARE + (1 - SLOW_START_INITIAL_SHARE) * rampedPart) * capacity * OVERLOAD_WINDOW / SECOND;
         }
 
         private boolean isDown() {
             return now >= DOWN_AT && now < BACK_AT;
         }
 
-        private void recordCall(boolean knew) {
+        private void recordCall(boolean nodeSawOutage) {
             if (now < BACK_AT) {
                 return;
             }
             callCount++;
-            recentCalls.addLast(new ReceivedCall(now, knew));
+            recentCalls.addLast(new ReceivedCall(now, nodeSawOutage));
             while (recentCalls.peekFirst().at <= now - OVERLOAD_WINDOW) {
                 recentCalls.pollFirst();
             }
-            double most = windowBudget(now - BACK_AT);
+            double budget = windowBudget(now - BACK_AT);
             if (3 * recentCalls.stream().filter(ReceivedCall::nodeSawOutage).count() > 2 * recentCalls.size()) {
-                worstWindow = Math.max(worstWindow, recentCalls.size() / (most + 2 * Math.sqrt(most) + 2));
+                worstWindow = Math.max(worstWindow, recentCalls.size() / (budget + 2 * Math.sqrt(budget) + 2));
             }
         }
 
-        /** load: part of the receiver's capacity that comes; restarts: every so-manieth node starts anew twice on the ramp. */
+        /** load: what is sent, as a part of the receiver's capacity; restarts: if positive, every so many nodes one restarts twice during the slow start. */
         ReceivedLoad run(double load, int restarts) {
-            double sum = 0;
+            double totalTraffic = 0;
             for (int i = 0; i < nodeCount; i++) {
-                sum += fleet.get(i).relativeTraffic;
+                totalTraffic += fleet.get(i).relativeTraffic;
             }
             for (Node node : fleet) {
-                node.arrivalRate = load * capacity * node.relativeTraffic / sum;
+                node.arrivalRate = load * capacity * node.relativeTraffic / totalTraffic;
                 schedule(node.nextArrivalAt(), node::submitMail);
                 if (restarts > 0 && node.number % restarts == 0) {
                     schedule(BACK_AT + 2 * SECOND, node::restart);
@@ -102,20 +118,20 @@
                 }
             }
             while (!tasks.isEmpty() && tasks.peek().at < BACK_AT + SLOW_START_DURATION) {
-                ScheduledTask due = tasks.poll();
-                now = due.at;
-                due.task.run();
+                ScheduledTask next = tasks.poll();
+                now = next.at;
+                next.task.run();
             }
-            double allowed = 0;
+            double totalBudget = 0;
             for (long t = 0; t < SLOW_START_DURATION; t += 100 * MS) {
-                allowed += windowBudget(t) / OVERLOAD_WINDOW * 100 * MS;
+                totalBudget += windowBudget(t) / OVERLOAD_WINDOW * 100 * MS;
             }
-            return new ReceivedLoad(worstWindow, callCount / allowed, callCount, allowed);
+            return new ReceivedLoad(worstWindow, callCount / totalBudget, callCount, totalBudget);
         }
 
         private final class Node {
             final int number;
-            /** Uneven: some get several times the mean. */
+            /** Uneven: some nodes get several times the mean. */
             final double relativeTraffic;
             private final long seed;
             private double arrivalRate;
@@ -142,7 +158,8 @@
                         new Settings.Rules(20 * MS, 500 * MS, SLOW_START_INITIAL_SHARE, SLOW_START_DURATION, OVERLOAD_FACTOR, OVERLOAD_WINDOW, 300 * MS)));
                 destination = new Destination(1);
                 endpoint = new Endpoint(1, destination, 0, 0);
-                carryOut(dispatcher.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE, List.of(new EndpointUpdate.Entry(endpoint, EndpointUpdate.State.READY, capacity))), now));
+                carryOut(dispatcher.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE,
+                        List.of(new EndpointUpdate.Entry(endpoint, EndpointUpdate.State.READY, capacity))), now));
             }
 
             long nextArrivalAt() {
@@ -160,14 +177,14 @@
                 start();
             }
 
-            private void carryOut(List<Action> answers) {
-                for (Action answer : answers) {
-                    int mine = incarnation;
-                    if (answer instanceof Action.Send send) {
+            private void carryOut(List<Action> actions) {
+                for (Action action : actions) {
+                    int scheduledBy = incarnation;
+                    if (action instanceof Action.Send send) {
                         onSend(send.attempt());
-                    } else if (answer instanceof Action.WakeUp wake) {
-                        schedule(now + wake.delay(), () -> {
-                            if (mine == incarnation) {
+                    } else if (action instanceof Action.WakeUp wakeUp) {
+                        schedule(now + wakeUp.delay(), () -> {
+                            if (scheduledBy == incarnation) {
                                 carryOut(dispatcher.nextActions(now));
                             }
                         });
@@ -175,14 +192,15 @@
                 }
             }
 
-            private void onSend(DeliveryAttempt connect) {
-                int mine = incarnation;
-                boolean lost = isDown();
-                sawOutage |= lost;
+            private void onSend(DeliveryAttempt attempt) {
+                int sentBy = incarnation;
+                boolean receiverDown = isDown();
+                sawOutage |= receiverDown;
                 recordCall(sawOutage);
-                schedule(now + (lost ? 2 * MS : SERVICE_TIME), () -> {
-                    if (mine == incarnation) {
-                        carryOut(dispatcher.attemptEnded(connect, lost ? new Outcome.ConnectFailed() : new Outcome.Delivered(), new double[0], !lost, now));
+                schedule(now + (receiverDown ? 2 * MS : SERVICE_TIME), () -> {
+                    if (sentBy == incarnation) {
+                        carryOut(dispatcher.attemptEnded(attempt, receiverDown ? new Outcome.ConnectFailed() : new Outcome.Delivered(), new double[0],
+                                !receiverDown, now));
                         carryOut(dispatcher.nextActions(now));
                     }
                 });
@@ -192,17 +210,17 @@
 
     @ParameterizedTest
     @CsvSource({"3, 4", "20, 4", "30, 4", "100, 4", "650, 4", "3, 40", "20, 40", "30, 40", "100, 40", "650, 40"})
-    void theFleetStaysWithinTheBudgetOfAReceiverInSlowStart(int nodes, double capacity) {
+    void theFleetStaysWithinTheBudgetOfAReceiverInSlowStart(int nodeCount, double capacity) {
         for (int restarts : new int[] {0, 3}) {
-            double worst = 0, used = 0;
+            double worstWindow = 0, budgetUsed = 0;
             for (int seed = 1; seed <= 5; seed++) {
-                ReceivedLoad came = new FleetSimulation(nodes, capacity, seed).run(0.9, restarts);
-                worst = Math.max(worst, came.worstWindow);
-                used += came.budgetUsed / 5;
+                ReceivedLoad load = new FleetSimulation(nodeCount, capacity, seed).run(0.9, restarts);
+                worstWindow = Math.max(worstWindow, load.worstWindow);
+                budgetUsed += load.budgetUsed / 5;
             }
-            System.out.printf("%d nodes, capacity %.0f, %s: worst window %.2f of its bound, %.2f of the budget used%n", nodes, capacity,
-                    restarts > 0 ? "restarts" : "no restart", worst, used);
-            assertThat(worst).as("%d nodes, restarts %d", nodes, restarts).isLessThanOrEqualTo(1);
+            System.out.printf("%d nodes, capacity %.0f, %s: worst window %.2f of its bound, %.2f of the budget used%n", nodeCount, capacity,
+                    restarts > 0 ? "restarts" : "no restart", worstWindow, budgetUsed);
+            assertThat(worstWindow).as("%d nodes, restarts %d", nodeCount, restarts).isLessThanOrEqualTo(1);
         }
     }
 }
