--- a/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
+++ b/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
@@ -80,6 +80,7 @@
     private static final double OTHER_ZONE_COST = 1; // An endpoint in another zone.
 
     private final int nodeCount, nodeIndex, zone, maxCallsInFlight, maxDegradedCalls, maxHeldMails, maxAttempts, allowanceIndex, provenConnectionScore;
+    // tick: how late this process may be; targetDelay: the shortest of all queue classes; maxLifetime: the longest of all queue classes.
     private final long seed, tick, maxRetryAfter, connectionIdleTimeout, listRetryInterval, slowStartDuration, orderSettleTime, targetDelay, maxLifetime;
     private final boolean parallelAttemptsAllowed, cancellationAllowed, listOnRequest, weightsProvided;
     private final double overQuotaImportance;
@@ -287,8 +288,7 @@
     }
 
     @Override public List<Action> nextActions(long now) {
-        // How late the recent wake-ups of this node were. It decays over the longest lifetime, as mails that were held at a late wake-up may be held for so
-        // long.
+        // How late the recent wake-ups were. It decays over the longest lifetime, as mails that were held at a late wake-up may be held for so long.
         long lateness = scheduledWakeUpAt > lastIterationAt && now - scheduledWakeUpAt > LATE_WAKE_UP_TICKS * tick ? now - scheduledWakeUpAt : 0;
         wakeUpLateness = Math.min(targetDelay, Math.max(lateness,
                 wakeUpLateness - (long) (wakeUpLateness * Math.min(1.0, (double) (now - lastIterationAt) / maxLifetime))));
@@ -303,6 +303,7 @@
         if (cancellationAllowed && callsInFlight >= maxCallsInFlight) {
             cancelOldestOverdueCall(now);
         }
+        // Mails of full importance go first at all destinations, then the others.
         for (int pass = 0; pass < 2; pass++) {
             for (int i = 0; i < activeDestinations.size(); i++) {
                 sendQueued(activeDestinations.get((roundRobinStart + i) % activeDestinations.size()), pass == 0, now);
@@ -657,10 +658,7 @@
         actions.add(new Action.ReleaseConnections(endpoint));
     }
 
-    /**
-     * Whether the destination needs no further iteration: no mails, no calls, no connection to release later. Releases connections that have been idle for
-     * long enough.
-     */
+    /** Whether the destination needs no further iteration: no mails, no calls, no connection to release later. Releases those that were idle for too long. */
     private boolean isIdle(Destination destination, long now) {
         boolean idle = destination.queue.isEmpty() && destination.inFlight == 0;
         for (Endpoint endpoint : destination.endpoints) {
@@ -691,7 +689,7 @@
     }
 
     /**
-     * Whether the mail could be repeated after such a timeout and be waited for as long again. If not, the timeout saves nothing and would lose mails that a
+     * Whether the mail could be repeated after this timeout and be waited for as long again. If not, the timeout saves nothing and would lose mails that a
      * slowed receiver would still relay. The cost: a silent receiver occupies calls for longer.
      */
     private boolean canRepeatAfterTimeout(Mail mail, long timeout) {
@@ -779,7 +777,7 @@
     /** A receiver rejected an attempt: backs off, and lowers the share of its limit that this node uses. */
     private void onRejected(Route route, long retryAfter, long now) {
         backOff(route, retryAfter, true, now);
-        // A rejection that reports allowance left met a short burst, or the report is late: the share falls no further than to the even one.
+        // A rejection that reports allowance left met a short burst, or the report is late: the share falls to the even share of a node at most.
         boolean inBurst = RateLimiter.rejectedInBurst(route, now);
         if (!inBurst) {
             route.rejected.add(now);
@@ -832,8 +830,8 @@
             breaker.consecutiveFailures++;
             backOff(route, 0, false, now);
             // Begins slow start early if nothing was relayed of late, as many nodes may each fail once at the same route: at the first failure where sibling
-            // routes can be tried instead; at the second consecutive one where a node is sparse, as it may not see a third. Not at its first there: the rate
-            // would be one mail in half a minute.
+            // routes can be tried instead; at the second consecutive one where a node is sparse (its even share is at most one mail per target delay), as it
+            // may not see a third. Not at the first there: that rate is one mail in half a minute.
             boolean earlySlowStart = now - route.lastRelayedAt > targetDelay && (attempt.endpoint.destination.routes.size() > 1
                     || rateLimiter.sparseness(route) >= 1 && breaker.consecutiveFailures >= SUSPECT_FAILURES);
             if (earlySlowStart || circuitBreaker.suspectsOutage(route, now)) {
@@ -995,8 +993,8 @@
         }
         endpoint.route.endpointCount++;
         endpoint.destination.endpoints.add(endpoint);
-        // Costs are equal nearly always, and all nodes would send to the first endpoint of a destination. Each node has a fixed order of its own, so that
-        // connections are reused. No cost is known.
+        // The other costs are equal nearly always, and all nodes would send to the first endpoint of a destination. Each node has a fixed order of its own,
+        // so that connections are reused. No drawback is known.
         CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(12).putInt(nodeIndex).putLong(endpoint.address).array());
         endpoint.preference = crc.getValue() / (double) (1L << 32);
