--- a/decisions/src/main/java/wrenreach/api/Action.java
+++ b/decisions/src/main/java/wrenreach/api/Action.java
@@ -4,40 +4,44 @@
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
 
-/** What the module wants done. */
+/** An action that the dispatcher wants the host to carry out. Durations are in microseconds. */
 public sealed interface Action {
-    /** Make this connect; it is cut off at its own cutAt. */
+    /** Make this attempt. It times out at its own {@link DeliveryAttempt#timeoutAt}. */
     record Send(DeliveryAttempt attempt) implements Action { }
 
-    /** Stop waiting for this connect. */
+    /** Stop waiting for this attempt. */
     record Cancel(DeliveryAttempt attempt) implements Action { }
 
-    /** End the mail undelivered; handing it in again is harmless. retryAfter 0: no advice. */
+    /**
+     * End the mail undelivered, in a way that lets the client submit it again without harm.
+     *
+     * @param retryAfter how long the client is advised to wait before that, in microseconds; 0: no advice
+     */
     record Defer(Mail mail, long retryAfter, EndReason reason) implements Action {
         public Defer(Mail mail, long retryAfter) {
             this(mail, retryAfter, EndReason.UNKNOWN);
         }
     }
 
-    /** End the mail for good. */
+    /** End the mail undelivered and for good: it may have taken effect, so submitting it again may do harm. */
     record Bounce(Mail mail, EndReason reason) implements Action {
         public Bounce(Mail mail) {
             this(mail, EndReason.UNKNOWN);
         }
     }
 
-    /** Call next() again after this long. */
+    /** Call {@link Dispatcher#nextActions} again after this delay, in microseconds. */
     record WakeUp(long delay) implements Action { }
 
-    /** Give idle connections to this endpoint back. */
+    /** Close the idle connections to this endpoint. */
     record ReleaseConnections(Endpoint endpoint) implements Action { }
 
-    /** Follow changes of the list of endpoints. */
+    /** Subscribe to changes of the endpoint list. */
     record SubscribeToList() implements Action { }
 
-    /** Ask once for the whole list of endpoints. */
+    /** Request the whole endpoint list once. */
     record FetchList() implements Action { }
 
-    /** A line for the node's log. */
+    /** Write a line to the node's log. */
     record LogNote(String text) implements Action { }
 }
--- a/decisions/src/main/java/wrenreach/api/EndReason.java
+++ b/decisions/src/main/java/wrenreach/api/EndReason.java
@@ -1,21 +1,21 @@
 package wrenreach.api;
 
-/** Why a message ends undelivered, for those who read the log. */
+/** Why a mail ended undelivered; for the log. */
 public enum EndReason {
-    /** Those ahead of it would take longer than it may wait. */
+    /** Sending the mails ahead of it in the queue would take longer than it may wait. */
     QUEUE_TOO_LONG,
-    /** Others were given the room that it held. */
+    /** It was shed to make room for others when the node held too many mails. */
     NO_ROOM,
-    /** Its time is over. */
+    /** It could not be delivered before its deadline. */
     DEADLINE,
-    /** It has been attempted as often as it may be. */
+    /** The maximum number of attempts is reached. */
     ATTEMPTS_USED_UP,
-    /** It may have taken effect, and a repeat would no longer be known as one. */
+    /** It may have taken effect, and receivers would no longer recognize a repeat. */
     REPEAT_WINDOW_OVER,
-    /** The decisions ended it and the node did not carry that out: a defect. */
+    /** The dispatcher ended it, but the node did not carry that out; a defect. */
     DECISION_LOST,
-    /** The settings do not name its class any more. */
+    /** The settings no longer contain its queue class. */
     UNKNOWN_CLASS,
-    /** Not told. */
+    /** No reason was given. */
     UNKNOWN
 }
--- a/decisions/src/main/java/wrenreach/api/Outcome.java
+++ b/decisions/src/main/java/wrenreach/api/Outcome.java
@@ -1,49 +1,57 @@
 package wrenreach.api;
 
-/** How a connect ended. */
+/** How a delivery attempt ended. The simple class names appear in log lines. */
 public sealed interface Outcome {
-    /** Whether this proves that the mail took no effect. */
+    /** Whether the outcome proves that the attempt had no effect at the receiver. */
     default boolean neverRan() {
         return false;
     }
 
-    /** The mail was delivered. */
+    /** The receiver accepted the mail. */
     record Delivered() implements Outcome { }
 
-    /** The destination answered with an error. */
+    /** The receiver answered with an error; it may have processed the mail. */
     record ServerError() implements Outcome { }
 
-    /** Turned away unseen; pause is 0 where no wait was told. */
+    /**
+     * The receiver refused the mail without processing it.
+     *
+     * @param retryAfter how long it asks to wait, in microseconds; 0 if it did not say
+     */
     record Rejected(long retryAfter) implements Outcome {
         @Override public boolean neverRan() {
             return true;
         }
     }
 
-    /** No answer by the cut-off. */
+    /** No response by the timeout of the attempt. */
     record TimedOut() implements Outcome { }
 
-    /** No connection could be had. */
+    /** No connection could be established. */
     record ConnectFailed() implements Outcome {
         @Override public boolean neverRan() {
             return true;
         }
     }
 
-    /** The connection broke under way. */
+    /** The connection broke before the response was complete. */
     record ConnectionLost() implements Outcome { }
 
-    /** Revoked by the node. */
+    /** The node stopped waiting for the response; the receiver may have processed the mail. */
     record Cancelled() implements Outcome { }
 
-    /** This machine could not make the attempt: that says nothing of the endpoint, and the attempt does not count. */
+    /** This machine could not make the attempt. That says nothing about the endpoint, and the attempt does not count. */
     record LocalFault() implements Outcome {
         @Override public boolean neverRan() {
             return true;
         }
     }
 
-    /** It never left the node. */
+    /**
+     * The attempt had no effect and says nothing about the health of the endpoint, for example because it was not sent.
+     *
+     * @param noSlot whether the receiver had no free slot for the call
+     */
     record NotSent(boolean noSlot) implements Outcome {
         @Override public boolean neverRan() {
             return true;
--- a/decisions/src/main/java/wrenreach/api/Settings.java
+++ b/decisions/src/main/java/wrenreach/api/Settings.java
@@ -2,7 +2,32 @@
 
 import java.util.List;
 
-/** What one delivery node is told at its start; times in microseconds, rates per second. */
+/**
+ * The settings that one delivery node gets at its start. Times are in microseconds, rates in messages per second.
+ *
+ * @param nodeIndex the index of this node in its fleet, from 0
+ * @param nodeCount the number of nodes of the fleet, at least 1
+ * @param zone the zone of this node, as an index; compared with {@link wrenreach.state.Endpoint#zone}
+ * @param tick how late a process may run a scheduled task
+ * @param seed seed of the random numbers of this node
+ * @param heldLimit maximum number of mails that the node holds in memory
+ * @param inFlightLimit maximum number of calls in flight at a time
+ * @param attemptLimit maximum number of attempts of a mail
+ * @param streamsPerConnection number of calls that a connection may carry at a time, at least 1
+ * @param parallelAttemptsAllowed whether a mail may have several attempts in flight
+ * @param cancellationAllowed whether attempts in flight may be cancelled
+ * @param retryAfterEnabled whether clients are told how long to wait before they submit a deferred mail again
+ * @param retryAfterLimit the longest such wait
+ * @param connectionIdleTimeout how long an idle connection stays usable
+ * @param tcpConnectTimeout timeout of a TCP connect; 0: the default of the node
+ * @param listOnRequest whether the dispatcher has to subscribe to the endpoint list
+ * @param listRequestWindow the time within which it has to subscribe again after that failed
+ * @param weightsProvided whether the weights in the endpoint list are rate limits
+ * @param weightsApproximate whether these rate limits are only approximate
+ * @param overQuotaImportance factor of the importance of mails beyond their tenant's quota
+ * @param allowanceIndex index of the remaining allowance, from 0 to 1, in load reports; -1 if they do not contain it
+ * @param allowanceRateIndex index of the rate limit of the route in load reports; -1 if they do not contain it
+ */
 public record Settings(
         int nodeIndex, int nodeCount, int zone, long tick, long seed,
         int heldLimit, int inFlightLimit, int attemptLimit, int streamsPerConnection,
@@ -13,24 +38,52 @@
         int allowanceIndex, int allowanceRateIndex,
         List<QueueClass> classes, List<DestinationKind> kinds, List<Tenant> tenants, Rules rules) {
 
-    /** How often a mail may take effect. */
+    /**
+     * Whether a mail may be sent again after an attempt that may have taken effect: always; only while receivers recognize the repeat by its
+     * tag; or never.
+     */
     public enum Effect { REDELIVERABLE, TAGGED, ONCE_ONLY }
 
-    /** Where a tagged mail's repeat is noticed. */
+    /** Which endpoints recognize a repeat of a tagged mail: all, those in the zone of the first attempt, or only the same endpoint. */
     public enum DeduplicationScope { ALL, ZONE, ENDPOINT }
 
-    /** A queue class of mail; late, its importance falls to lateShare, evenly or by half each target delay. */
+    /**
+     * A queue class of mails.
+     *
+     * @param targetDelay the time within which a mail should be delivered, in microseconds; after it the importance decreases
+     * @param lifetime the time after which a mail ends undelivered, in microseconds
+     * @param importance relative importance of a mail that is on time
+     * @param lateImportanceShare the fraction of the importance down to which that of a late mail decreases
+     * @param exponentialDecay whether the importance of a late mail halves with each target delay; otherwise it decreases linearly
+     * @param deduplicationWindow how long receivers recognize a repeat of a tagged mail, in microseconds
+     * @param ordered whether mails of an order key are delivered in order, one at a time
+     */
     public record QueueClass(long targetDelay, long lifetime, double importance, double lateImportanceShare,
                              boolean exponentialDecay, Effect effect,
                              DeduplicationScope deduplicationScope, long deduplicationWindow, boolean ordered) { }
 
-    /** A kind of destination. */
+    /**
+     * A kind of destination.
+     *
+     * @param routePerEndpoint whether each endpoint has a route of its own; otherwise all endpoints of a destination share one
+     * @param batchSize maximum number of mails in one call
+     */
     public record DestinationKind(boolean routePerEndpoint, int batchSize) { }
 
-    /** A customer whose traffic beyond its share matters little. */
+    /** A tenant; mails beyond its quota, in messages per second over all nodes, get a lower importance. */
     public record Tenant(double quotaPerSecond) { }
 
-    /** Figures of the rules. */
+    /**
+     * Parameters of the delivery rules; times in microseconds.
+     *
+     * @param answerSlack not used by the node
+     * @param drainGrace how long calls may still begin at an endpoint after it was drained, and how long a starting node waits for a current list
+     * @param slowStartInitialShare the fraction of its normal rate that a returning receiver takes at first
+     * @param slowStartDuration the time in which that grows to the normal rate
+     * @param overloadFactor the multiple of that rate which a returning receiver bears for a short time
+     * @param overloadWindow the length of that short time
+     * @param orderSettleTime how long an order key waits after an attempt with an unknown outcome
+     */
     public record Rules(long answerSlack, long drainGrace, double slowStartInitialShare, long slowStartDuration,
                         double overloadFactor, long overloadWindow, long orderSettleTime) { }
 }
--- a/decisions/src/main/java/wrenreach/state/DeliveryAttempt.java
+++ b/decisions/src/main/java/wrenreach/state/DeliveryAttempt.java
@@ -1,27 +1,32 @@
 package wrenreach.state;
 
-/** One try at delivering a mail. */
+/** One attempt to deliver a mail to an endpoint. Times are in microseconds. */
 public final class DeliveryAttempt {
     public final Mail mail;
     public final Endpoint endpoint;
+    /** Its number among the attempts of the mail, from 0. */
     public final int number;
     public final long sentAt;
+    /** When the host stops waiting for the response. */
     public final long timeoutAt;
     public final Call call;
-    /** Not to be written after this instant: what an earlier connect may have done would not be known again. */
+    /** It must not be written after this time: receivers might no longer recognize it as a repeat of an earlier attempt. */
     public long sendDeadline = Long.MAX_VALUE;
+    /** Whether it is or was a trial of the route's circuit breaker. */
     public boolean trial;
+    /** Whether it has not ended. */
     public boolean open = true;
+    /** Whether its outcome proved that it had no effect at the receiver; false while it is open. */
     public boolean neverRan;
-    /** Whether it went out on a connection that had served others before. */
+    /** Whether it was sent over a connection that had carried other calls before. */
     public boolean reusedConnection;
 
-    public DeliveryAttempt(Mail mail, Endpoint endpoint, long sentAt, long cutAt, Call call) {
+    public DeliveryAttempt(Mail mail, Endpoint endpoint, long sentAt, long timeoutAt, Call call) {
         this.mail = mail;
         this.endpoint = endpoint;
         this.number = mail.attempts.size();
         this.sentAt = sentAt;
-        this.timeoutAt = cutAt;
+        this.timeoutAt = timeoutAt;
         this.call = call;
     }
 }
--- a/decisions/src/main/java/wrenreach/state/Destination.java
+++ b/decisions/src/main/java/wrenreach/state/Destination.java
@@ -3,28 +3,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A receiver, the endpoints that reach it and the mails that wait for it. */
+/** A destination of mails, with its endpoints and the queue of mails that wait for it. */
 public final class Destination {
     public final int number;
+    /** Those that the endpoint list contains. */
     public final List<Endpoint> endpoints = new ArrayList<>(4);
     public final List<Route> routes = new ArrayList<>(4);
+    /** Mails that wait for an attempt, in the order of their admission. */
     public final List<Mail> queue = new ArrayList<>();
+    /** Number of calls in flight. */
     public int inFlight;
+    /** Whether the endpoint list has named it and the dispatcher knows it. */
     public boolean listed;
+    /** Whether the dispatcher visits it in each iteration. */
     public boolean busy;
 
     public Destination(int number) {
         this.number = number;
     }
 
-    /** Whether mails, calls or a wait hang on what stands here: it can't be forgotten. */
+    /** Whether it has mails, calls in flight or a backoff that is not over, so that its state must be kept. */
     public boolean hasPendingWork(long now) {
-        return busy || inFlight > 0 || !queue.isEmpty() || routes.stream().anyMatch(r -> r.backoffUntil > now || !r.calls.isEmpty());
+        return busy || inFlight > 0 || !queue.isEmpty() || routes.stream().anyMatch(route -> route.backoffUntil > now || !route.calls.isEmpty());
     }
 
-    /** Whether something that its receivers did still bears on what is decided: it is not as new. */
+    /** Whether it has pending work, or past outcomes still affect decisions, so that it differs from a new destination. */
     public boolean hasLearnedState(long now) {
-        return hasPendingWork(now) || routes.stream().anyMatch(r -> r.inSlowStart || r.breaker.phase != CircuitBreakerState.Phase.CLOSED
-                || r.breaker.consecutiveFailures > 0);
+        return hasPendingWork(now) || routes.stream().anyMatch(route -> route.inSlowStart || route.breaker.phase != CircuitBreakerState.Phase.CLOSED
+                || route.breaker.consecutiveFailures > 0);
     }
 }
