--- a/decisions/src/test/java/wrenreach/DeliveryDispatcherTest.java
+++ b/decisions/src/test/java/wrenreach/DeliveryDispatcherTest.java
@@ -34,58 +34,61 @@
         return node.destination.routes.get(0).breaker;
     }
 
-    // ---- Breaker ----
+    // ---- Circuit breaker and recovered mails ----
 
-    /** Guards mails found untried where less may be sent than was found: each has its call before its end, or a reason. */
+    /**
+     * At a restart more mails may be recovered than the rate limit allows to send before their deadlines, and most ended without an attempt.
+     * Each gets one attempt before its deadline, unless the receiver told the node to wait.
+     */
     @ParameterizedTest
     @CsvSource({"false, 30", "true, 0"})
-    void recoveredUnsentMailMayExceedTheRateLimitNearItsDeadlineUnlessToldToWait(boolean told, int calls) {
-        NodeFixture s = new NodeFixture();
-        s.weight = 0.5;
-        s.nodeCount = 100;
-        s.addEndpoint(1, 0);
-        if (told) {
-            s.endAttempt(s.sendMail(), new Outcome.Rejected(60_000 * NodeFixture.MS));
-            s.newActions.clear();
+    void recoveredUnsentMailMayExceedTheRateLimitNearItsDeadlineUnlessToldToWait(boolean toldToWait, int expectedMails) {
+        NodeFixture fixture = new NodeFixture();
+        fixture.weight = 0.5;
+        fixture.nodeCount = 100;
+        fixture.addEndpoint(1, 0);
+        if (toldToWait) {
+            fixture.endAttempt(fixture.sendMail(), new Outcome.Rejected(60_000 * NodeFixture.MS));
+            fixture.newActions.clear();
         }
-        for (int i = 0; i < 30; i++) { // Some ten go by pace in that time.
-            Mail m = new Mail(1000 + i, s.destination, null, 0, 0, s.now, s.now + (9000 + 150 * i) * NodeFixture.MS);
-            m.recovered = true;
-            s.newActions.addAll(s.dispatcher().admit(m, s.now));
+        for (int i = 0; i < 30; i++) { // The rate limit allows for about ten of them in that time.
+            Mail mail = new Mail(1000 + i, fixture.destination, null, 0, 0, fixture.now, fixture.now + (9000 + 150 * i) * NodeFixture.MS);
+            mail.recovered = true;
+            fixture.newActions.addAll(fixture.dispatcher().admit(mail, fixture.now));
         }
         Set<Mail> sent = new HashSet<>();
-        Deque<List<DeliveryAttempt>> out = new ArrayDeque<>();
-        for (int turn = 0; turn < 1500; turn++) {
-            out.addLast(s.runIteration(10));
-            out.getLast().forEach(c -> sent.add(c.mail));
-            if (out.size() > 10) { // Each takes a tenth of a second.
-                out.removeFirst().forEach(c -> s.endAttempt(c, new Outcome.Delivered()));
+        Deque<List<DeliveryAttempt>> inFlight = new ArrayDeque<>();
+        for (int iteration = 0; iteration < 1500; iteration++) {
+            inFlight.addLast(fixture.runIteration(10));
+            inFlight.getLast().forEach(attempt -> sent.add(attempt.mail));
+            if (inFlight.size() > 10) { // Each call takes a tenth of a second.
+                inFlight.removeFirst().forEach(attempt -> fixture.endAttempt(attempt, new Outcome.Delivered()));
             }
         }
-        assertThat(sent.stream().filter(m -> m.recovered)).hasSize(calls);
+        assertThat(sent.stream().filter(mail -> mail.recovered)).hasSize(expectedMails);
     }
 
-    /** Guards what an earlier process took on: it is neither judged at the door again nor turned away for room untried. */
+    /** A mail that an earlier process accepted passes no admission control again, and is not deferred to make room before its first attempt. */
     @Test void recoveredMailIsNotDeferredBeforeItsFirstAttempt() {
-        NodeFixture s = new NodeFixture();
-        s.weight = 2;
-        s.heldLimit = 40;
-        s.quotaPerSecond = 1;
-        s.addEndpoint(1, 0);
-        List<Mail> owed = new ArrayList<>();
+        NodeFixture fixture = new NodeFixture();
+        fixture.weight = 2;
+        fixture.heldLimit = 40;
+        fixture.quotaPerSecond = 1;
+        fixture.addEndpoint(1, 0);
+        List<Mail> recoveredMails = new ArrayList<>();
         for (int i = 0; i < 39; i++) {
-            Mail m = new Mail(1000 + i, s.destination, null, 0, 0, s.now, s.now + 10_000 * NodeFixture.MS);
-            m.recovered = true;
-            owed.add(m);
-            s.newActions.addAll(s.dispatcher().admit(m, s.now));
+            Mail mail = new Mail(1000 + i, fixture.destination, null, 0, 0, fixture.now, fixture.now + 10_000 * NodeFixture.MS);
+            mail.recovered = true;
+            recoveredMails.add(mail);
+            fixture.newActions.addAll(fixture.dispatcher().admit(mail, fixture.now));
         }
-        s.weight = 1000;
-        Destination other = new Destination(2);
-        s.updateEndpoint(new Endpoint(2, other, 0, 0), EndpointUpdate.State.READY);
-        s.admitMail(other, null);
-        s.runIteration(5);
-        assertThat(s.newActionsOf(Action.Defer.class)).allMatch(defer -> !owed.contains(defer.mail()));
-        assertThat(owed).allMatch(m -> !m.finished);
+        fixture.weight = 1000;
+        Destination otherDestination = new Destination(2);
+        fixture.updateEndpoint(new Endpoint(2, otherDestination, 0, 0), EndpointUpdate.State.READY);
+        fixture.admitMail(otherDestination, null);
+        fixture.runIteration(5);
+        assertThat(fixture.newActionsOf(Action.Defer.class)).allMatch(defer -> !recoveredMails.contains(defer.mail()));
+        assertThat(recoveredMails).allMatch(mail -> !mail.finished);
     }
 
     @Test void consecutiveFailuresOpenTheBreakerAndMailsQueue() {
@@ -122,7 +125,7 @@
         assertThat(second).hasSize(1);
         node.endAttempt(second.get(0), new Outcome.Delivered());
         assertThat(breaker().phase).isEqualTo(CircuitBreakerState.Phase.CLOSED);
-        assertThat(node.allActionsOf(Action.LogNote.class)).anyMatch(n -> n.text().contains("closed"));
+        assertThat(node.allActionsOf(Action.LogNote.class)).anyMatch(note -> note.text().contains("closed"));
     }
 
     @Test void aFailedTrialReopensTheBreakerForAnotherCoolDown() {
@@ -152,7 +155,7 @@
             }
             node.failMails(1, new Outcome.ConnectFailed());
         }
-        assertThat(node.allActionsOf(Action.LogNote.class)).anyMatch(n -> n.text().contains("opened by ConnectFailed"));
+        assertThat(node.allActionsOf(Action.LogNote.class)).anyMatch(note -> note.text().contains("opened by ConnectFailed"));
     }
 
     @Test void separateRoutesHaveSeparateBreakers() {
@@ -175,18 +178,18 @@
 
     // ---- Recovery ----
 
-    /** A mail that an earlier process sent so many times, this long ago, none of them answered. */
-    private Mail admitRecovered(Endpoint at, int times, long ago, boolean neverRan) {
-        Mail m = new Mail(99, node.destination, null, 0, 0, node.now, node.now + 20_000 * NodeFixture.MS);
-        for (int i = 0; i < times; i++) {
-            long sentAt = node.now - ago * NodeFixture.MS;
-            DeliveryAttempt c = new DeliveryAttempt(m, at, sentAt, sentAt, new Call(sentAt));
-            c.open = false;
-            c.neverRan = neverRan;
-            m.attempts.add(c);
+    /** Admits a mail that an earlier process attempted this many times, this many milliseconds ago, without a response. */
+    private Mail admitRecovered(Endpoint endpoint, int attemptCount, long agoMillis, boolean neverRan) {
+        Mail mail = new Mail(99, node.destination, null, 0, 0, node.now, node.now + 20_000 * NodeFixture.MS);
+        for (int i = 0; i < attemptCount; i++) {
+            long sentAt = node.now - agoMillis * NodeFixture.MS;
+            DeliveryAttempt attempt = new DeliveryAttempt(mail, endpoint, sentAt, sentAt, new Call(sentAt));
+            attempt.open = false;
+            attempt.neverRan = neverRan;
+            mail.attempts.add(attempt);
         }
-        node.newActions.addAll(node.dispatcher().admit(m, node.now));
-        return m;
+        node.newActions.addAll(node.dispatcher().admit(mail, node.now));
+        return mail;
     }
 
     @Test void aRecoveredOnceOnlyMailThatMayHaveTakenEffectIsBounced() {
@@ -196,58 +199,58 @@
         assertThat(node.allActionsOf(Action.Bounce.class)).hasSize(1);
     }
 
-    /** Whatever holds its bytes up, a repeat is not to go out after the window of the earliest that may have run. */
+    /** However long its bytes are delayed, a repeat must not be sent after the deduplication window of the earliest attempt that may have taken effect. */
     @Test void aRepeatCarriesTheLatestTimeAtWhichItMayBeSent() {
-        Endpoint e = node.addEndpoint(1, 0);
-        admitRecovered(e, 2, 1000, false);
-        admitRecovered(e, 1, 1000, true);
+        Endpoint endpoint = node.addEndpoint(1, 0);
+        admitRecovered(endpoint, 2, 1000, false);
+        admitRecovered(endpoint, 1, 1000, true);
         node.runIteration(5);
         List<Action.Send> sent = node.allActionsOf(Action.Send.class);
         assertThat(sent).hasSize(2);
-        assertThat(sent).extracting(one -> one.attempt().sendDeadline).containsExactlyInAnyOrder(
+        assertThat(sent).extracting(send -> send.attempt().sendDeadline).containsExactlyInAnyOrder(
                 1_000_000 * NodeFixture.MS - 1000 * NodeFixture.MS + 7500 * NodeFixture.MS - 10 * NodeFixture.MS, Long.MAX_VALUE);
     }
 
-    @Test void aRecoveredTaggedMailIsResentOnlyWithinItsRepeatWindow() {
-        Endpoint e = node.addEndpoint(1, 0);
-        Mail within = admitRecovered(e, 1, 1000, false);
-        assertThat(node.runIteration(5)).extracting(c -> c.mail).containsExactly(within);
-        admitRecovered(e, 1, 9000, false);
+    @Test void aRecoveredTaggedMailIsResentOnlyWithinItsDeduplicationWindow() {
+        Endpoint endpoint = node.addEndpoint(1, 0);
+        Mail mailInWindow = admitRecovered(endpoint, 1, 1000, false);
+        assertThat(node.runIteration(5)).extracting(attempt -> attempt.mail).containsExactly(mailInWindow);
+        admitRecovered(endpoint, 1, 9000, false);
         assertThat(node.runIteration(5)).isEmpty();
         assertThat(node.allActionsOf(Action.Bounce.class)).hasSize(1);
     }
 
     @Test void aRecoveredMailWithoutAttemptsLeftEndsAtOnce() {
         node.attemptLimit = 3;
-        Mail m = admitRecovered(node.addEndpoint(1, 0), 3, 1000, true);
+        Mail mail = admitRecovered(node.addEndpoint(1, 0), 3, 1000, true);
         assertThat(node.runIteration(5)).isEmpty();
-        assertThat(m.attempts).hasSize(3);
-        assertThat(node.allActionsOf(Action.Defer.class)).extracting(Action.Defer::mail).containsExactly(m);
+        assertThat(mail.attempts).hasSize(3);
+        assertThat(node.allActionsOf(Action.Defer.class)).extracting(Action.Defer::mail).containsExactly(mail);
     }
 
-    // ---- The rules ----
+    // ---- Delivery rules ----
 
     @Test void nothingIsSentToADrainingEndpoint() {
-        Endpoint e = node.addEndpoint(1, 0);
-        node.updateEndpoint(e, EndpointUpdate.State.DRAINING);
+        Endpoint endpoint = node.addEndpoint(1, 0);
+        node.updateEndpoint(endpoint, EndpointUpdate.State.DRAINING);
         node.admitMail(null);
         assertThat(node.runIteration(5)).isEmpty();
     }
 
     @Test void aWholeListRemovesTheEndpointsThatItOmits() {
-        Endpoint e = node.addEndpoint(1, 0);
+        Endpoint endpoint = node.addEndpoint(1, 0);
         node.dispatcher().endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE, List.of()), node.now);
-        assertThat(e.ready).isFalse();
+        assertThat(endpoint.ready).isFalse();
     }
 
     @Test void theLongestRetryAfterHoldsTheDestination() {
         node.addEndpoint(1, 0);
         node.addEndpoint(2, 0);
         node.batchSize = 5;
-        DeliveryAttempt a = node.sendMail();
-        DeliveryAttempt b = node.sendMail();
-        node.endAttempt(a, new Outcome.Rejected(900 * NodeFixture.MS));
-        node.endAttempt(b, new Outcome.Rejected(300 * NodeFixture.MS));
+        DeliveryAttempt firstAttempt = node.sendMail();
+        DeliveryAttempt secondAttempt = node.sendMail();
+        node.endAttempt(firstAttempt, new Outcome.Rejected(900 * NodeFixture.MS));
+        node.endAttempt(secondAttempt, new Outcome.Rejected(300 * NodeFixture.MS));
         assertThat(node.runIteration(900)).isEmpty();
         assertThat(node.runIteration(2500)).isNotEmpty();
     }
@@ -271,33 +274,33 @@
         OrderKey key = new OrderKey();
         Mail first = node.admitMail(key);
         node.admitMail(key);
-        DeliveryAttempt c = node.runIteration(5).get(0);
-        assertThat(c.mail).isSameAs(first);
+        DeliveryAttempt attempt = node.runIteration(5).get(0);
+        assertThat(attempt.mail).isSameAs(first);
         assertThat(node.runIteration(100)).isEmpty();
         node.newActions.addAll(node.dispatcher().withdrawn(first, node.now));
         assertThat(node.runIteration(100)).isEmpty();
-        node.endAttempt(c, new Outcome.TimedOut());
+        node.endAttempt(attempt, new Outcome.TimedOut());
         node.destination.routes.get(0).inSlowStart = false;
         assertThat(node.runIteration(295)).isEmpty();
         assertThat(node.runIteration(3000)).hasSize(1);
     }
 
-    @Test void aTaggedMailIsRepeatedOnlyWithinItsRepeatWindow() {
+    @Test void aTaggedMailIsRepeatedOnlyWithinItsDeduplicationWindow() {
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        node.endAttempt(c, new Outcome.TimedOut());
+        DeliveryAttempt attempt = node.sendMail();
+        node.endAttempt(attempt, new Outcome.TimedOut());
         assertThat(node.runIteration(8000)).isEmpty();
         assertThat(node.allActionsOf(Action.Bounce.class)).hasSize(1);
     }
 
-    @Test void aTaggedMailIsRepeatedOnlyWithinItsRepeatGroup() {
+    @Test void aTaggedMailIsRepeatedOnlyWithinItsDeduplicationScope() {
         node.deduplicationScope = DeduplicationScope.ZONE;
-        Endpoint near = node.addEndpoint(1, 0);
+        Endpoint sameZone = node.addEndpoint(1, 0);
         node.addEndpoint(2, 1);
-        DeliveryAttempt c = node.sendMail();
-        assertThat(c.endpoint).isSameAs(near);
-        node.updateEndpoint(near, EndpointUpdate.State.GONE);
-        node.endAttempt(c, new Outcome.ConnectionLost());
+        DeliveryAttempt attempt = node.sendMail();
+        assertThat(attempt.endpoint).isSameAs(sameZone);
+        node.updateEndpoint(sameZone, EndpointUpdate.State.GONE);
+        node.endAttempt(attempt, new Outcome.ConnectionLost());
         assertThat(node.runIteration(1000)).isEmpty();
         assertThat(node.allActionsOf(Action.Bounce.class)).as("it may have run and no repeat is allowed").hasSize(1);
     }
@@ -327,18 +330,18 @@
     }
 
     @Test void noMailOutlivesItsLifetime() {
-        Mail m = node.admitMail(null);
+        Mail mail = node.admitMail(null);
         node.runIteration(27_990);
-        assertThat(m.finished).isTrue();
+        assertThat(mail.finished).isTrue();
         assertThat(node.allActionsOf(Action.Defer.class)).hasSize(1);
         assertThat(node.runIteration(1000)).isEmpty();
     }
 
     @Test void anEndedMailIsNeverSentOrEndedAgain() {
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        node.dispatcher().withdrawn(c.mail, node.now);
-        node.endAttempt(c, new Outcome.ConnectionLost());
+        DeliveryAttempt attempt = node.sendMail();
+        node.dispatcher().withdrawn(attempt.mail, node.now);
+        node.endAttempt(attempt, new Outcome.ConnectionLost());
         assertThat(node.runIteration(1000)).isEmpty();
         assertThat(node.allActionsOf(Action.Bounce.class)).isEmpty();
         assertThat(node.allActionsOf(Action.Defer.class)).isEmpty();
@@ -352,7 +355,7 @@
         assertThat(node.allActionsOf(Action.Defer.class)).hasSize(1);
     }
 
-    // ---- Pace, lane, admission ----
+    // ---- Rate limits, degraded receivers, admission control ----
 
     @Test void aReturningRouteIsLimitedBySlowStart() {
         node.weight = 8;
@@ -362,12 +365,12 @@
         int sent = 0;
         for (int i = 0; i < 30; i++) {
             node.admitMail(null);
-            for (DeliveryAttempt c : node.runIteration(100)) {
-                node.endAttempt(c, new Outcome.Delivered());
+            for (DeliveryAttempt attempt : node.runIteration(100)) {
+                node.endAttempt(attempt, new Outcome.Delivered());
                 sent++;
             }
         }
-        // 3 s of 1.5 x 8 a second x (0.25 to 0.475) for one node of two, and the token it starts with.
+        // In 3 s: 1.5 x 8 messages per second x (0.25 to 0.475), of which one node of two gets half, and the initial token.
         assertThat(sent).isBetween(3, 8);
     }
 
@@ -396,53 +399,53 @@
     @Test void aLowReportedAllowanceLowersTheRateToTheEvenShare() {
         node.weight = 10;
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        node.dispatcher().attemptEnded(c, new Outcome.Delivered(), new double[] {0.05, 10}, true, node.now);
+        DeliveryAttempt attempt = node.sendMail();
+        node.dispatcher().attemptEnded(attempt, new Outcome.Delivered(), new double[] {0.05, 10}, true, node.now);
         int sent = 0;
         for (int i = 0; i < 20; i++) {
             node.admitMail(null);
             sent += node.runIteration(100).size();
         }
-        // 2 s at half of 10 a second, and a burst of a part of a second.
+        // In 2 s: half of 10 messages per second, and a burst worth a fraction of a second.
         assertThat(sent).isBetween(3, 13);
     }
 
     @Test void aMailAdmittedNearItsDeadlineCountsAsOnTime() {
-        Mail m = new Mail(99, node.destination, null, 0, 0, node.now, node.now + 1000 * NodeFixture.MS);
-        node.dispatcher().admit(m, node.now);
-        assertThat(m.softDeadline).isEqualTo(m.deadline);
+        Mail mail = new Mail(99, node.destination, null, 0, 0, node.now, node.now + 1000 * NodeFixture.MS);
+        node.dispatcher().admit(mail, node.now);
+        assertThat(mail.softDeadline).isEqualTo(mail.deadline);
     }
 
     @Test void aOnceOnlyMailGetsALongTimeout() {
         node.effect = Effect.ONCE_ONLY;
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        assertThat(c.timeoutAt - c.sentAt).isEqualTo(14_000 * NodeFixture.MS);
+        DeliveryAttempt attempt = node.sendMail();
+        assertThat(attempt.timeoutAt - attempt.sentAt).isEqualTo(14_000 * NodeFixture.MS);
     }
 
     @Test void theOldestOverdueCallIsCancelledWhenNoSlotIsFree() {
         node.effect = Effect.ONCE_ONLY;
         node.inFlightLimit = 2;
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
+        DeliveryAttempt attempt = node.sendMail();
         Destination other = new Destination(2);
         node.dispatcher().endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.CHANGES, List.of(new EndpointUpdate.Entry(
                 new Endpoint(9, other, 0, 0), EndpointUpdate.State.READY, 1000))), node.now);
         node.admitMail(other, null);
         node.runIteration(100);
         node.runIteration(3000);
-        assertThat(node.allActionsOf(Action.Cancel.class)).extracting(Action.Cancel::attempt).containsExactly(c);
-        node.endAttempt(c, new Outcome.Cancelled());
+        assertThat(node.allActionsOf(Action.Cancel.class)).extracting(Action.Cancel::attempt).containsExactly(attempt);
+        node.endAttempt(attempt, new Outcome.Cancelled());
         assertThat(breaker().consecutiveFailures).as("counts as timed out").isEqualTo(1);
     }
 
     @Test void rejectionsLowerTheShareAndTimeRaisesIt() {
         node.addEndpoint(1, 0);
         node.endAttempt(node.sendMail(), new Outcome.Rejected(0));
-        double after = node.destination.routes.get(0).share;
-        assertThat(after).isLessThan(1);
+        double reducedShare = node.destination.routes.get(0).share;
+        assertThat(reducedShare).isLessThan(1);
         node.endAttempt(node.runIteration(5000).get(0), new Outcome.Rejected(0));
-        assertThat(node.destination.routes.get(0).share).isGreaterThan(after * 0.7);
+        assertThat(node.destination.routes.get(0).share).isGreaterThan(reducedShare * 0.7);
     }
 
     @Test void anOverdueCallLimitsTheRouteToOneCall() {
@@ -469,7 +472,7 @@
         for (int i = 0; i < 40; i++) {
             node.admitMail(null);
         }
-        assertThat(node.allActionsOf(Action.Defer.class)).isNotEmpty().allMatch(d -> d.retryAfter() <= 2000 * NodeFixture.MS);
+        assertThat(node.allActionsOf(Action.Defer.class)).isNotEmpty().allMatch(defer -> defer.retryAfter() <= 2000 * NodeFixture.MS);
     }
 
     @Test void atTheLimitOfHeldMailsTheLongestQueueDefersOne() {
@@ -481,8 +484,8 @@
             node.admitMail(null);
         }
         Destination other = new Destination(2);
-        Mail m = node.admitMail(other, null);
-        assertThat(m.finished).isFalse();
+        Mail mail = node.admitMail(other, null);
+        assertThat(mail.finished).isFalse();
         assertThat(node.allActionsOf(Action.Defer.class)).isNotEmpty();
     }
 
@@ -493,23 +496,23 @@
         for (int i = 0; i < 6; i++) {
             node.admitMail(null);
         }
-        Mail over = node.destination.queue.stream().filter(m -> m.overQuota).findFirst().orElseThrow();
-        assertThat(node.runIteration(5)).noneMatch(c -> c.mail == over);
+        Mail overQuotaMail = node.destination.queue.stream().filter(mail -> mail.overQuota).findFirst().orElseThrow();
+        assertThat(node.runIteration(5)).noneMatch(attempt -> attempt.mail == overQuotaMail);
     }
 
     @Test void lateMailsOfOtherKeysDoNotDelayANewKey() {
         node.ordered = true;
         node.weight = 1;
         node.addEndpoint(1, 0);
-        OrderKey late = new OrderKey();
-        node.admitMail(late);
-        node.admitMail(late);
+        OrderKey lateKey = new OrderKey();
+        node.admitMail(lateKey);
+        node.admitMail(lateKey);
         node.destination.routes.get(0).tokens = 0;
         node.destination.routes.get(0).tokensUpdatedAt = node.now;
         node.runIteration(0);
         node.now += 2700 * NodeFixture.MS;
-        Mail fresh = node.admitMail(new OrderKey());
-        assertThat(node.runIteration(5).get(0).mail).isSameAs(fresh);
+        Mail newMail = node.admitMail(new OrderKey());
+        assertThat(node.runIteration(5).get(0).mail).isSameAs(newMail);
     }
 
     @Test void batchedMailsShareACall() {
@@ -528,8 +531,8 @@
         return node.destination.routes.get(0);
     }
 
-    private void endWithReport(DeliveryAttempt c, Outcome outcome, double left) {
-        node.newActions.addAll(node.dispatcher().attemptEnded(c, outcome, new double[] {left, 10}, false, node.now));
+    private void endWithReport(DeliveryAttempt attempt, Outcome outcome, double left) {
+        node.newActions.addAll(node.dispatcher().attemptEnded(attempt, outcome, new double[] {left, 10}, false, node.now));
     }
 
     @Test void anIdleConnectionIsReleasedWhereADeliverySoonFollowsAFailedConnect() {
@@ -546,9 +549,9 @@
         for (int i = 0; i < 3; i++) {
             node.endAttempt(node.sendMail(), new Outcome.Delivered());
         }
-        int before = node.allActionsOf(Action.ReleaseConnections.class).size();
+        int releases = node.allActionsOf(Action.ReleaseConnections.class).size();
         node.runIteration(4000);
-        assertThat(node.allActionsOf(Action.ReleaseConnections.class)).hasSize(before);
+        assertThat(node.allActionsOf(Action.ReleaseConnections.class)).hasSize(releases);
         assertThat(node.destination.endpoints.get(0).idleConnections).isNotEmpty();
     }
 
@@ -569,7 +572,7 @@
         route().share = 1.0 / 200;
         route().shareUpdatedAt = node.now;
         node.admitMail(null);
-        assertThat(node.runIteration(2500)).as("an even part is one mail in 50 s").hasSize(1);
+        assertThat(node.runIteration(2500)).as("the even share is one mail in 50 s").hasSize(1);
     }
 
     @Test void aSparseNodesShareFallsWhenNoAllowanceIsLeft() {
@@ -579,7 +582,7 @@
         route().tokens = 0;
         route().tokensUpdatedAt = node.now;
         node.admitMail(null);
-        assertThat(node.runIteration(4000)).as("200 nodes with a mail more each are over the limit").isEmpty();
+        assertThat(node.runIteration(4000)).as("one more mail from each of 200 nodes exceeds the limit").isEmpty();
     }
 
     @Test void theCoolDownGrowsWithTheNodesThatMayHaveMails() {
@@ -596,9 +599,9 @@
         node.nodeCount = 200;
         node.weight = 4;
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
+        DeliveryAttempt attempt = node.sendMail();
         route().downSince = node.now - 10_000 * NodeFixture.MS;
-        node.endAttempt(c, new Outcome.Rejected(4000 * NodeFixture.MS));
+        node.endAttempt(attempt, new Outcome.Rejected(4000 * NodeFixture.MS));
         assertThat(route().backoffUntil - node.now).isGreaterThan(4100 * NodeFixture.MS);
     }
 
@@ -606,8 +609,8 @@
         node.nodeCount = 200;
         node.weight = 4;
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        node.endAttempt(c, new Outcome.Rejected(500 * NodeFixture.MS));
+        DeliveryAttempt attempt = node.sendMail();
+        node.endAttempt(attempt, new Outcome.Rejected(500 * NodeFixture.MS));
         assertThat(route().backoffUntil - node.now).isGreaterThan(510 * NodeFixture.MS);
     }
 
@@ -624,23 +627,23 @@
         assertThat(route().share).isLessThan(1.0 / 14);
     }
 
-    /** A lowered share stayed low for a day where nodes are many, though reports told that all allowance was left. */
+    /** In a fleet of many nodes a reduced share stayed low for a day, though load reports said that all allowance was left. */
     @Test void theShareRisesWithinATargetDelayWhileAllowanceIsLeftAndMailsWait() {
         node.nodeCount = 14;
         node.addEndpoint(1, 0);
         node.ordered = true;
         OrderKey key = new OrderKey();
         node.admitMail(key);
-        DeliveryAttempt c = node.runIteration(500).get(0);
+        DeliveryAttempt attempt = node.runIteration(500).get(0);
         route().share = 0.05;
         route().shareUpdatedAt = node.now;
         node.admitMail(key);
         node.now += 1250 * NodeFixture.MS;
-        endWithReport(c, new Outcome.Delivered(), 1);
-        assertThat(route().share).as("a report speaks for 0.3 of a target delay").isCloseTo(0.091, within(0.001));
+        endWithReport(attempt, new Outcome.Delivered(), 1);
+        assertThat(route().share).as("a report counts for at most 0.3 of a target delay").isCloseTo(0.091, within(0.001));
     }
 
-    /** A limit was believed in fifths: nodes that see a report or two a second sent at the old one for seconds. */
+    /** Each report moved the limit by a fifth of the difference only: nodes that see a report or two a second sent at the old limit for seconds. */
     @Test void aLoweredLimitIsAdoptedFasterThanARaisedOne() {
         node.addEndpoint(1, 0);
         route().limit = 40;
@@ -652,7 +655,7 @@
         assertThat(route().limit).isEqualTo(6);
     }
 
-    /** Pauses that doubled let a limit that refused calls use up stand idle: it relayed half of what it takes. */
+    /** Where rejected calls use up the limit too, an exponential backoff left it idle: the receiver relayed half of what it can take. */
     @Test void aRejectionByARouteThatDeliversPausesItBriefly() {
         node.nodeCount = 14;
         node.addEndpoint(1, 0);
@@ -663,7 +666,7 @@
         assertThat(route().backoffUntil - node.now).isBetween(0L, 2500 * NodeFixture.MS);
     }
 
-    /** Where all nodes have mails, parts by what came add up to more than the limit. */
+    /** Where all nodes have mails, shares by arrivals add up to more than the limit. */
     @Test void inABurstTheFairShareIsTheEvenShareUnlessNodesAreSparse() {
         node.nodeCount = 14;
         node.weight = 100;
@@ -671,67 +674,72 @@
         for (int i = 0; i < 600; i++) {
             node.admitMail(null);
         }
-        DeliveryAttempt c = node.runIteration(500).get(0);
+        DeliveryAttempt attempt = node.runIteration(500).get(0);
         route().limit = 100;
         route().limitReported = true;
         route().allowance = 0;
         route().allowanceReportedAt = node.now;
         route().share = 1;
-        node.endAttempt(c, new Outcome.Rejected(0));
+        node.endAttempt(attempt, new Outcome.Rejected(0));
         assertThat(route().share).isLessThan(1.5 / 14);
     }
 
-    /** In sum, 100 nodes sent many limits: by what came to each, also to a cold receiver, and with turns they had saved. */
+    /**
+     * Together 100 nodes sent many times the limit: their shares followed the arrivals at each, also in slow start, and they used saved tokens.
+     */
     @Test void manyNodesKeepToTheEvenShareOfAScarceLimit() {
         node.nodeCount = 100;
         node.weight = 16;
-        Route r = node.addEndpoint(1, 0).route;
+        Route route = node.addEndpoint(1, 0).route;
         IntStream.range(0, 60).forEach(i -> node.admitMail(null));
-        for (int fulls = 0; fulls < 5; fulls++) {
-            r.backoffUntil = 0;
-            r.tokens = 2;
-            node.runIteration(500).forEach(c -> endWithReport(c, new Outcome.Rejected(0), 0));
-            assertThat(r.tokens).as("saved turns are spent").isBetween(0.0, 0.99);
+        for (int rejections = 0; rejections < 5; rejections++) {
+            route.backoffUntil = 0;
+            route.tokens = 2;
+            node.runIteration(500).forEach(attempt -> endWithReport(attempt, new Outcome.Rejected(0), 0));
+            assertThat(route.tokens).as("saved tokens are dropped").isBetween(0.0, 0.99);
         }
-        assertThat(r.share).isBetween(0.5 / 100, 0.1);
-        r.backoffUntil = 0;
-        r.inSlowStart = true;
-        r.slowStartRampAt = Long.MAX_VALUE;
-        r.tokens = 0;
-        assertThat(node.runIteration(1000)).as("a third of a turn while cold").isEmpty();
-        r.inSlowStart = false;
-        r.share = 0.5 / 100;
-        r.tokens = 0;
-        assertThat(node.runIteration(15_000)).as("0.75 of a turn, were no share regained without a report").isNotEmpty();
-    }
-
-    /** All nodes sent to the first of a destination's endpoints, as costs are equal where traffic is thin. */
+        assertThat(route.share).isBetween(0.5 / 100, 0.1);
+        route.backoffUntil = 0;
+        route.inSlowStart = true;
+        route.slowStartRampAt = Long.MAX_VALUE;
+        route.tokens = 0;
+        assertThat(node.runIteration(1000)).as("a third of a token in slow start").isEmpty();
+        route.inSlowStart = false;
+        route.share = 0.5 / 100;
+        route.tokens = 0;
+        assertThat(node.runIteration(15_000)).as("it would be 0.75 of a token if no share recovered without a report").isNotEmpty();
+    }
+
+    /** With little traffic the costs of endpoints are equal, and all nodes sent to the first endpoint of a destination. */
     @Test void nodesPreferDifferentEndpoints() {
-        int first = 0;
-        for (int me = 0; me < 14; me++) {
-            NodeFixture node = new NodeFixture();
-            node.nodeIndex = me;
-            node.addEndpoint(1, 0);
-            node.addEndpoint(2, 0);
-            first += node.sendMail().endpoint.address == 1 ? 1 : 0;
+        int choicesOfFirst = 0;
+        for (int nodeIndex = 0; nodeIndex < 14; nodeIndex++) {
+            NodeFixture fixture = new NodeFixture();
+            fixture.nodeIndex = nodeIndex;
+            fixture.addEndpoint(1, 0);
+            fixture.addEndpoint(2, 0);
+            choicesOfFirst += fixture.sendMail().endpoint.address == 1 ? 1 : 0;
         }
-        assertThat(first).isBetween(4, 10);
+        assertThat(choicesOfFirst).isBetween(4, 10);
     }
 
-    /** 14 nodes start from 1.5 parts of a rush, sparse ones from all; a list's number is no rate where none is given. */
+    /**
+     * Each of 14 nodes starts with 1.5 even shares, a node of a sparse fleet with the whole limit. Where the settings say that the list has no
+     * weights, its number is not used as a rate.
+     */
     @Test void theInitialShareIsLimitedAndWeightsAreUsedOnlyWhereGiven() {
         node.nodeCount = 14;
         node.addEndpoint(1, 0);
         assertThat(route().share).isCloseTo(1.5 / 14, within(1e-6));
-        NodeFixture sparse = new NodeFixture();
-        sparse.nodeCount = 200;
-        sparse.weight = 4;
-        sparse.weightsProvided = false;
-        assertThat(sparse.addEndpoint(1, 0).route.share).isEqualTo(1);
-        assertThat(sparse.destination.routes.get(0).weight).isZero();
+        NodeFixture sparseFleet = new NodeFixture();
+        sparseFleet.nodeCount = 200;
+        sparseFleet.weight = 4;
+        sparseFleet.weightsProvided = false;
+        assertThat(sparseFleet.addEndpoint(1, 0).route.share).isEqualTo(1);
+        assertThat(sparseFleet.destination.routes.get(0).weight).isZero();
     }
 
-    /** A line of late mails turned fresh ones away, which would have gone before them. */
+    /** New mails were deferred because of a queue of late mails, though they would have been sent before them. */
     @Test void aNewMailIsAcceptedThoughLateMailsFillTheQueue() {
         node.nodeCount = 14;
         node.weight = 30;
@@ -739,37 +747,40 @@
         for (int i = 0; i < 150; i++) {
             node.admitMail(null);
         }
-        assertThat(node.allActionsOf(Action.Defer.class)).as("the line is full").isNotEmpty();
+        assertThat(node.allActionsOf(Action.Defer.class)).as("the queue is full").isNotEmpty();
         node.now += 3000 * NodeFixture.MS;
         assertThat(node.admitMail(null).finished).isFalse();
     }
 
-    /** A line is no longer than what goes in time, so that keys are not open for long; those behind an open mail still fit. */
+    /**
+     * For new keys a queue is limited to what can be sent on time, so that keys are not open for long. Mails behind an unfinished mail of their
+     * key are still accepted.
+     */
     @Test void aQueueThatIsFullForNewKeysStillAcceptsMailsOfOpenKeys() {
         node.ordered = true;
         node.weight = 8;
         node.addEndpoint(1, 0);
-        List<OrderKey> open = new ArrayList<>();
+        List<OrderKey> openKeys = new ArrayList<>();
         Mail next;
         do {
-            open.add(new OrderKey());
-            next = node.admitMail(open.get(open.size() - 1));
+            openKeys.add(new OrderKey());
+            next = node.admitMail(openKeys.get(openKeys.size() - 1));
         } while (!next.finished);
-        open.remove(open.size() - 1);
-        int first = node.destination.queue.size();
-        // Half a target delay of 2.5 s at a node's pace of at most 8 a second.
-        assertThat(first).isBetween(2, 12);
-        assertThat(node.admitMail(null).finished).as("one without a key is no better off").isTrue();
-        int behind = 0;
-        while (!node.admitMail(open.get(behind % open.size())).finished) {
-            behind++;
+        openKeys.remove(openKeys.size() - 1);
+        int queuedFirst = node.destination.queue.size();
+        // Half of the target delay of 2.5 s, at this node's rate of at most 8 messages per second.
+        assertThat(queuedFirst).isBetween(2, 12);
+        assertThat(node.admitMail(null).finished).as("a mail without a key is deferred too").isTrue();
+        int queuedBehind = 0;
+        while (!node.admitMail(openKeys.get(queuedBehind % openKeys.size())).finished) {
+            queuedBehind++;
         }
-        assertThat(behind).as("room for those behind").isGreaterThanOrEqualTo(first);
-        assertThat(node.destination.queue.size()).as("all in time within two target delays").isLessThanOrEqualTo(41);
+        assertThat(queuedBehind).as("room for mails of open keys").isGreaterThanOrEqualTo(queuedFirst);
+        assertThat(node.destination.queue.size()).as("all can be sent within two target delays").isLessThanOrEqualTo(41);
         assertThat(node.admitMail(new OrderKey()).finished).isTrue();
     }
 
-    /** What waits for a breaker or a told wait is parked as before: only what stands before it in line counts. */
+    /** Mails are still queued during a cool-down or a retry-after: the limit of the queue counts only the time for the mails ahead. */
     @Test void aHoldDoesNotCountAsQueueingTime() {
         node.weight = 8;
         node.addEndpoint(1, 0);
@@ -782,44 +793,47 @@
         node.nodeCount = 200;
         node.weight = 4;
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        node.endAttempt(c, new Outcome.ConnectFailed());
+        DeliveryAttempt attempt = node.sendMail();
+        node.endAttempt(attempt, new Outcome.ConnectFailed());
         assertThat(node.runIteration(5)).isEmpty();
-        assertThat(c.mail.notBefore).isGreaterThan(node.now - 5 * NodeFixture.MS);
+        assertThat(attempt.mail.notBefore).isGreaterThan(node.now - 5 * NodeFixture.MS);
     }
 
-    /** Guards the mails of a sparse node against one stray failure, and a cold receiver against nodes that see no third. */
+    /**
+     * At a node of a sparse fleet one stray failure must not delay the next mails by slow start; but it may never see a third failure, and
+     * without slow start the nodes would overload a returning receiver.
+     */
     @Test void theSecondConsecutiveFailureStartsSlowStartAtASparseNode() {
         node.nodeCount = 200;
         node.weight = 4;
         node.addEndpoint(1, 0);
         node.endAttempt(node.sendMail(), new Outcome.ConnectFailed());
-        assertThat(route().inSlowStart).as("after one").isFalse();
-        DeliveryAttempt again = node.runIteration(2500).get(0);
-        node.endAttempt(again, new Outcome.Delivered());
+        assertThat(route().inSlowStart).as("after one failure").isFalse();
+        DeliveryAttempt retry = node.runIteration(2500).get(0);
+        node.endAttempt(retry, new Outcome.Delivered());
         node.now += 5000 * NodeFixture.MS;
         node.endAttempt(node.sendMail(), new Outcome.ConnectFailed());
-        assertThat(route().inSlowStart).as("after two with a relay between").isFalse();
+        assertThat(route().inSlowStart).as("after two with a relayed mail between them").isFalse();
         node.endAttempt(node.runIteration(2500).get(0), new Outcome.ConnectFailed());
-        assertThat(route().inSlowStart).as("after two in a row").isTrue();
+        assertThat(route().inSlowStart).as("after two consecutive failures").isTrue();
     }
 
     @Test void theFirstFailureOfOneOfSeveralRoutesStartsSlowStart() {
         node.routePerEndpoint = true;
         node.addEndpoint(1, 0);
         node.addEndpoint(2, 0);
-        DeliveryAttempt c = node.sendMail();
-        node.endAttempt(c, new Outcome.ConnectFailed());
-        assertThat(c.endpoint.route.inSlowStart).isTrue();
+        DeliveryAttempt attempt = node.sendMail();
+        node.endAttempt(attempt, new Outcome.ConnectFailed());
+        assertThat(attempt.endpoint.route.inSlowStart).isTrue();
     }
 
     @Test void latenciesMeasuredAfterAStallOfTheNodeAreIgnored() {
         node.addEndpoint(1, 0);
-        DeliveryAttempt c = node.sendMail();
-        double usual = route().typicalLatency;
+        DeliveryAttempt attempt = node.sendMail();
+        double typicalLatency = route().typicalLatency;
         node.now += 2000 * NodeFixture.MS;
-        node.endAttempt(c, new Outcome.Delivered());
-        assertThat(route().typicalLatency).isEqualTo(usual);
+        node.endAttempt(attempt, new Outcome.Delivered());
+        assertThat(route().typicalLatency).isEqualTo(typicalLatency);
     }
 
     @Test void theExpectedWaitFollowsTheActualRate() {
@@ -860,75 +874,75 @@
         assertThat(node.allActionsOf(Action.SubscribeToList.class)).hasSize(2);
     }
 
-    /** Guards receivers whose machines drop kept connections: such a break is no failure of theirs, and no pause. */
+    /** Receivers may close connections that were kept open. That is no failure of the receiver, and no backoff follows. */
     @Test void aBrokenReusedConnectionIsNoFailureOfTheReceiver() {
-        NodeFixture one = new NodeFixture();
-        Endpoint at = one.addEndpoint(1, 0);
-        int broken = 0;
+        NodeFixture fixture = new NodeFixture();
+        Endpoint endpoint = fixture.addEndpoint(1, 0);
+        int brokenConnections = 0;
         for (int i = 0; i < 12; i++) {
-            one.admitMail(null);
-            for (DeliveryAttempt c : one.runIteration(500)) {
-                c.reusedConnection = true;
-                one.endAttempt(c, new Outcome.ConnectionLost());
-                broken++;
+            fixture.admitMail(null);
+            for (DeliveryAttempt attempt : fixture.runIteration(500)) {
+                attempt.reusedConnection = true;
+                fixture.endAttempt(attempt, new Outcome.ConnectionLost());
+                brokenConnections++;
             }
-            assertThat(at.route.backoffUntil).isLessThanOrEqualTo(one.now);
+            assertThat(endpoint.route.backoffUntil).isLessThanOrEqualTo(fixture.now);
         }
-        assertThat(broken).isGreaterThan(8);
-        assertThat(at.route.breaker.phase).isEqualTo(CircuitBreakerState.Phase.CLOSED);
-        assertThat(at.route.inSlowStart).isFalse();
-        assertThat(one.failMails(8, new Outcome.ConnectionLost())).isPositive();
-        assertThat(at.route.breaker.phase).isNotEqualTo(CircuitBreakerState.Phase.CLOSED);
+        assertThat(brokenConnections).isGreaterThan(8);
+        assertThat(endpoint.route.breaker.phase).isEqualTo(CircuitBreakerState.Phase.CLOSED);
+        assertThat(endpoint.route.inSlowStart).isFalse();
+        assertThat(fixture.failMails(8, new Outcome.ConnectionLost())).isPositive();
+        assertThat(endpoint.route.breaker.phase).isNotEqualTo(CircuitBreakerState.Phase.CLOSED);
     }
 
-    /** Guards memory and places: what is gone, named so or left out of a whole list, counts no more. */
+    /** Endpoints that are gone, by name or because a whole list omits them, must take neither memory nor a part of the concurrency of a route. */
     @Test void goneEndpointsAreRemoved() {
-        NodeFixture one = new NodeFixture();
-        Endpoint stays = one.addEndpoint(1, 0);
+        NodeFixture fixture = new NodeFixture();
+        Endpoint remaining = fixture.addEndpoint(1, 0);
         for (int i = 2; i < 50; i++) {
-            Endpoint passing = one.addEndpoint(i, 0);
+            Endpoint temporary = fixture.addEndpoint(i, 0);
             if (i % 2 == 0) {
-                one.updateEndpoint(passing, EndpointUpdate.State.GONE);
+                fixture.updateEndpoint(temporary, EndpointUpdate.State.GONE);
             } else {
-                one.dispatcher().endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE,
-                        List.of(new EndpointUpdate.Entry(stays, EndpointUpdate.State.READY, one.weight))), one.now);
+                fixture.dispatcher().endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE,
+                        List.of(new EndpointUpdate.Entry(remaining, EndpointUpdate.State.READY, fixture.weight))), fixture.now);
             }
-            assertThat(passing.ready).isFalse();
+            assertThat(temporary.ready).isFalse();
         }
-        assertThat(one.destination.endpoints).containsExactly(stays);
-        assertThat(stays.route.endpointCount).isEqualTo(1);
+        assertThat(fixture.destination.endpoints).containsExactly(remaining);
+        assertThat(remaining.route.endpointCount).isEqualTo(1);
     }
 
     @Test void aSeparateRouteIsRemovedAndRestoredWithItsEndpoint() {
-        NodeFixture one = new NodeFixture();
-        one.routePerEndpoint = true;
-        Endpoint first = one.addEndpoint(1, 0);
-        Endpoint second = one.addEndpoint(2, 0);
-        second.route.backoffUntil = one.now + 500 * NodeFixture.MS;
-        one.updateEndpoint(second, EndpointUpdate.State.GONE);
-        assertThat(one.destination.routes).containsExactly(first.route);
-        one.updateEndpoint(second, EndpointUpdate.State.READY);
-        assertThat(one.destination.routes).containsExactly(first.route, second.route);
-        assertThat(second.route.backoffUntil).isGreaterThan(one.now);
-    }
-
-    /** Guards endings while a node is short of its core: wakes that came late tell by how much an ending would. */
+        NodeFixture fixture = new NodeFixture();
+        fixture.routePerEndpoint = true;
+        Endpoint first = fixture.addEndpoint(1, 0);
+        Endpoint second = fixture.addEndpoint(2, 0);
+        second.route.backoffUntil = fixture.now + 500 * NodeFixture.MS;
+        fixture.updateEndpoint(second, EndpointUpdate.State.GONE);
+        assertThat(fixture.destination.routes).containsExactly(first.route);
+        fixture.updateEndpoint(second, EndpointUpdate.State.READY);
+        assertThat(fixture.destination.routes).containsExactly(first.route, second.route);
+        assertThat(second.route.backoffUntil).isGreaterThan(fixture.now);
+    }
+
+    /** A node that gets too little CPU time would end mails too late. How late its recent wake-ups were tells how much earlier it has to end them. */
     @Test void aNodeThatWakesLateEndsMailsEarlierByTheSameTime() {
-        for (int late : new int[] {0, 700}) {
-            NodeFixture s = new NodeFixture();
-            s.updateEndpoint(s.addEndpoint(1, 0), EndpointUpdate.State.DRAINING);
-            s.admitMail(null);
-            long begin = s.now;
-            s.runIteration(0);
-            while (s.now < begin + 27_400 * NodeFixture.MS) {
-                boolean missed = s.now == begin + 26_000 * NodeFixture.MS;
-                s.runIteration(missed ? 100 + late : 100); // Its wakes are 100 apart.
+        for (int lateMillis : new int[] {0, 700}) {
+            NodeFixture fixture = new NodeFixture();
+            fixture.updateEndpoint(fixture.addEndpoint(1, 0), EndpointUpdate.State.DRAINING);
+            fixture.admitMail(null);
+            long start = fixture.now;
+            fixture.runIteration(0);
+            while (fixture.now < start + 27_400 * NodeFixture.MS) {
+                boolean wakesLate = fixture.now == start + 26_000 * NodeFixture.MS;
+                fixture.runIteration(wakesLate ? 100 + lateMillis : 100); // It wakes up every 100 ms.
             }
-            assertThat(s.allActionsOf(Action.Defer.class)).as("late by " + late).hasSize(late > 0 ? 1 : 0);
-            while (s.now < begin + 28_000 * NodeFixture.MS) {
-                s.runIteration(100);
+            assertThat(fixture.allActionsOf(Action.Defer.class)).as("late by " + lateMillis).hasSize(lateMillis > 0 ? 1 : 0);
+            while (fixture.now < start + 28_000 * NodeFixture.MS) {
+                fixture.runIteration(100);
             }
-            assertThat(s.allActionsOf(Action.Defer.class)).hasSize(1);
+            assertThat(fixture.allActionsOf(Action.Defer.class)).hasSize(1);
         }
     }
 }
--- a/decisions/src/test/java/wrenreach/NodeFixture.java
+++ b/decisions/src/test/java/wrenreach/NodeFixture.java
@@ -14,8 +14,12 @@
 import wrenreach.state.Mail;
 import wrenreach.state.OrderKey;
 
-/** One node with one destination; times in milliseconds here, microseconds inside. */
+/**
+ * The dispatcher of one node with one destination, and its host. The fields with settings take effect if they are set before the first call
+ * of a method. Parameters of methods are in milliseconds, {@link #now} and the settings in microseconds.
+ */
 final class NodeFixture {
+    /** Microseconds in a millisecond. */
     static final long MS = 1000;
 
     Effect effect = Effect.TAGGED;
@@ -29,20 +33,24 @@
     int inFlightLimit = 100;
     int heldLimit = 1000;
     int attemptLimit = 6;
+    /** Weight of endpoints in the list: the rate limit of their route, in messages per second. */
     double weight = 1000;
     boolean weightsProvided = true;
+    /** Of the only tenant; 0: there is no tenant. */
     double quotaPerSecond;
     boolean listOnRequest;
+    /** The time of the current iteration, in microseconds. */
     long now = 1_000_000 * MS;
     final Destination destination = new Destination(1);
+    /** Actions since the last iteration. */
     final List<Action> newActions = new ArrayList<>();
     private long nextMailId;
     private DeliveryDispatcher dispatcher;
 
     DeliveryDispatcher dispatcher() {
         if (dispatcher == null) {
-            dispatcher = new DeliveryDispatcher(new Settings(nodeIndex, nodeCount, 0, 5 * MS, 7, heldLimit, inFlightLimit, attemptLimit, 1, parallelAttemptsAllowed, true, true, 2000 * MS,
-                    5000 * MS, 1000 * MS, listOnRequest, 10_000 * MS, weightsProvided, false, 0.1, 0, 1,
+            dispatcher = new DeliveryDispatcher(new Settings(nodeIndex, nodeCount, 0, 5 * MS, 7, heldLimit, inFlightLimit, attemptLimit, 1,
+                    parallelAttemptsAllowed, true, true, 2000 * MS, 5000 * MS, 1000 * MS, listOnRequest, 10_000 * MS, weightsProvided, false, 0.1, 0, 1,
                     List.of(new Settings.QueueClass(2500 * MS, 28_000 * MS, 1, 0.3, false, effect, deduplicationScope, 7500 * MS,
                             ordered)),
                     List.of(new Settings.DestinationKind(routePerEndpoint, batchSize)),
@@ -52,79 +60,81 @@
         return dispatcher;
     }
 
+    /** Adds an endpoint of the destination to the list. */
     Endpoint addEndpoint(int address, int zone) {
-        Endpoint e = new Endpoint(address, destination, 0, zone);
-        updateEndpoint(e, EndpointUpdate.State.READY);
-        return e;
+        Endpoint endpoint = new Endpoint(address, destination, 0, zone);
+        updateEndpoint(endpoint, EndpointUpdate.State.READY);
+        return endpoint;
     }
 
-    void updateEndpoint(Endpoint e, EndpointUpdate.State state) {
+    void updateEndpoint(Endpoint endpoint, EndpointUpdate.State state) {
         newActions.addAll(dispatcher().endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.CHANGES,
-                List.of(new EndpointUpdate.Entry(e, state, weight))), now));
+                List.of(new EndpointUpdate.Entry(endpoint, state, weight))), now));
     }
 
-    Mail admitMail(OrderKey key) {
-        return admitMail(destination, key);
+    Mail admitMail(OrderKey orderKey) {
+        return admitMail(destination, orderKey);
     }
 
-    Mail admitMail(Destination d, OrderKey key) {
-        Mail m = new Mail(nextMailId++, d, key, 0, 0, now, now + 28_000 * MS);
-        newActions.addAll(dispatcher().admit(m, now));
-        return m;
+    Mail admitMail(Destination to, OrderKey orderKey) {
+        Mail mail = new Mail(nextMailId++, to, orderKey, 0, 0, now, now + 28_000 * MS);
+        newActions.addAll(dispatcher().admit(mail, now));
+        return mail;
     }
 
-    /** Ends the turn after this long; the connects that it sends. */
-    List<DeliveryAttempt> runIteration(long after) {
-        now += after * MS;
+    /** Runs an iteration after this delay, in milliseconds. Returns the attempts that it sends. */
+    List<DeliveryAttempt> runIteration(long delay) {
+        now += delay * MS;
         newActions.addAll(dispatcher().nextActions(now));
         List<DeliveryAttempt> sent = new ArrayList<>();
-        for (Action answer : takeNewActions()) {
-            if (answer instanceof Action.Send send) {
+        for (Action action : takeNewActions()) {
+            if (action instanceof Action.Send send) {
                 sent.add(send.attempt());
             }
         }
         return sent;
     }
 
-    /** Hands in a mail and sends it. */
+    /** Admits a mail and sends it in an iteration 500 ms later. */
     DeliveryAttempt sendMail() {
         admitMail(null);
         return runIteration(500).get(0);
     }
 
-    void endAttempt(DeliveryAttempt c, Outcome outcome) {
-        newActions.addAll(dispatcher().attemptEnded(c, outcome, new double[0], outcome instanceof Outcome.Delivered, now));
+    void endAttempt(DeliveryAttempt attempt, Outcome outcome) {
+        newActions.addAll(dispatcher().attemptEnded(attempt, outcome, new double[0], outcome instanceof Outcome.Delivered, now));
     }
 
-    /** Hands in and fails so many mails, one a turn, while any is sent. */
-    int failMails(int times, Outcome outcome) {
+    /** Admits this many mails, one per iteration, and ends every attempt with the outcome. Returns the number of attempts. */
+    int failMails(int count, Outcome outcome) {
         int failed = 0;
-        for (int i = 0; i < times; i++) {
+        for (int i = 0; i < count; i++) {
             admitMail(null);
-            for (DeliveryAttempt c : runIteration(1000)) {
-                endAttempt(c, outcome);
+            for (DeliveryAttempt attempt : runIteration(1000)) {
+                endAttempt(attempt, outcome);
                 failed++;
             }
         }
         return failed;
     }
 
-    <A extends Action> List<A> newActionsOf(Class<A> kind) {
-        return newActions.stream().filter(kind::isInstance).map(kind::cast).toList();
+    /** The actions of a type since the last iteration. */
+    <A extends Action> List<A> newActionsOf(Class<A> type) {
+        return newActions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
     private List<Action> takeNewActions() {
-        List<Action> last = List.copyOf(newActions);
-        earlierActions.addAll(last);
+        List<Action> taken = List.copyOf(newActions);
+        earlierActions.addAll(taken);
         newActions.clear();
-        return last;
+        return taken;
     }
 
     final List<Action> earlierActions = new ArrayList<>();
 
-    /** Everything answered so far. */
-    <A extends Action> List<A> allActionsOf(Class<A> kind) {
+    /** All actions of a type so far. */
+    <A extends Action> List<A> allActionsOf(Class<A> type) {
         takeNewActions();
-        return earlierActions.stream().filter(kind::isInstance).map(kind::cast).toList();
+        return earlierActions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 }
--- a/decisions/src/test/java/wrenreach/state/DirectoryTest.java
+++ b/decisions/src/test/java/wrenreach/state/DirectoryTest.java
@@ -16,17 +16,17 @@
         return endpoint;
     }
 
-    /** Guards memory: new endpoints under new ids replace old ones for as long as a node runs. */
+    /** As long as a node runs, endpoints with new ids replace old ones. If they were kept, memory would run out. */
     @Test void unlistedEndpointsAreRemovedUnlessACallIsInFlight() {
         Endpoint listed = endpoint(-1, true);
-        Endpoint called = endpoint(-2, false);
-        called.inFlight = 1;
+        Endpoint inUse = endpoint(-2, false);
+        inUse.inFlight = 1;
         for (int i = 0; i < 1000; i++) {
             endpoint(i, false);
             directory.sweep(0);
         }
         assertThat(directory.endpoint("s--1")).isSameAs(listed);
-        assertThat(directory.endpoint("s--2")).isSameAs(called);
+        assertThat(directory.endpoint("s--2")).isSameAs(inUse);
         assertThat(directory.endpoint("s-1")).isNull();
     }
 }
