--- a/node/src/main/java/wrenreach/node/EndpointsInUse.java
+++ b/node/src/main/java/wrenreach/node/EndpointsInUse.java
@@ -180,10 +180,10 @@
             }
             directory.removeDestination(destination);
             actionSink.accept(dispatcher.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.CHANGES, removed), now));
-            for (EndpointUpdate.Entry entryRemoved : removed) {
-                directory.removeEndpoint(endpointName(entryRemoved.endpoint()));
-                lastEntries.remove(entryRemoved.endpoint());
-                calls.remove(entryRemoved.endpoint());
+            for (EndpointUpdate.Entry removedEntry : removed) {
+                directory.removeEndpoint(endpointName(removedEntry.endpoint()));
+                lastEntries.remove(removedEntry.endpoint());
+                calls.remove(removedEntry.endpoint());
             }
         }
     }
--- a/node/src/test/java/wrenreach/node/ClockTest.java
+++ b/node/src/test/java/wrenreach/node/ClockTest.java
@@ -15,19 +15,23 @@
 import wrenreach.held.Submission;
 import wrenreach.net.MachineClocks;
 
-/** One time for all processes of a boot, whatever becomes of the wall clock. */
+/** The node's time is the same for all processes of a boot, whatever happens to the wall clock. */
 class ClockTest {
-    private static final long SECOND_MICROS = 1_000_000, WALL_MS = 1_800_000_000_000L, HOUR_MS = 3_600_000;
-    /** The one place that may read the wall clock; what stays are times shown to people. */
+    private static final long SECOND_MICROS = 1_000_000;
+    /** Milliseconds that the wall clock shows when the first process starts. */
+    private static final long WALL_MS = 1_800_000_000_000L;
+    private static final long HOUR_MS = 3_600_000;
+    /** The one place that may read the wall clock, and those that show times to people. */
     private static final List<String> WALL_CLOCK_READERS = List.of("MachineClocks.java", "ListsCommand.java", "WatchedLists.java");
     @TempDir Path folder;
 
-    /** A process that starts when the machine shows these times; it owes a message with 5 s left. */
+    /** Starts the clock of a process while the machine's clocks show these times. */
     private Clock startClock(Journal journal, long monotonicSeconds, long wallMs, String boot) {
         return Clock.start(Ticker.systemTicker(), new MachineClocks(() -> wallMs, () -> 1000 * SECOND_MICROS * monotonicSeconds, boot), journal,
                 60 * SECOND_MICROS);
     }
 
+    /** Seconds left to a mail that a first process has recorded with 5 s left, as a second process sees it that starts later. */
     private long secondsLeft(long secondsLater, long wallMs, String boot) throws IOException {
         try (Journal journal = Journal.open(folder, 2_000_000)) {
             Clock clock = startClock(journal, 100, WALL_MS, "first");
@@ -59,7 +63,7 @@
     @Test void wallClockIsReadInOnePlaceOnly() throws IOException {
         for (String module : List.of("decisions", "node", "ledger", "store", "lists", "app")) {
             try (Stream<Path> files = Files.walk(Path.of(module, "src/main"))) {
-                for (Path file : files.filter(one -> one.toString().endsWith(".java")).toList()) {
+                for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
                     if (!WALL_CLOCK_READERS.contains(file.getFileName().toString())) {
                         assertThat(Files.readString(file)).as(file.toString()).doesNotContainPattern(
                                 "currentTimeMillis|Instant\\.now|LocalDateTime|new Date\\(|Clock\\.system");
--- a/node/src/test/java/wrenreach/node/ConfigTest.java
+++ b/node/src/test/java/wrenreach/node/ConfigTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wrenreach.api.Settings;
 
+/** Configs read from the sample file and variants of it, and the order of a node's phases. */
 class ConfigTest {
     private static final Path SAMPLE = Path.of("deploy/sample.json");
 
@@ -41,7 +42,7 @@
         assertThat(config.discovery().getPort()).isEqualTo(9);
     }
 
-    /** Guards calls of one mail: where kinds allow calls of several, the protocol has no form for them. */
+    /** A call carries one mail even where kinds allow several: the protocol has no form for batches. */
     @Test void batchSizeIsAlwaysOne() throws IOException {
         String json = Files.readString(SAMPLE).replace("\"BatchByKind\": [1]", "\"BatchByKind\": [20]");
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
--- a/node/src/test/java/wrenreach/node/DeliveryNodeTest.java
+++ b/node/src/test/java/wrenreach/node/DeliveryNodeTest.java
@@ -39,7 +39,7 @@
 import wrenreach.net.ReplyHandle;
 import wrenreach.net.Reply;
 
-/** One node against a small receiver and platform on loopback. */
+/** Runs one node against a small receiver and platform on loopback. */
 class DeliveryNodeTest {
     @TempDir Path stateFolder;
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
@@ -50,7 +50,7 @@
     private String effect = "token";
     private int descriptors = 512;
     private int weight = 10;
-    /** Whether discovery takes watches and says nothing. */
+    /** Whether discovery accepts watch requests and never answers them. */
     private volatile boolean discoverySilent;
     private Function<Settings, Dispatcher> dispatcherFactory = DeliveryDispatcher::new;
     private DeliveryNode node;
@@ -62,18 +62,18 @@
             String path = exchange.getRequestURI().getPath();
             String id = exchange.getRequestHeaders().getFirst("X-Call-Id");
             if (!path.equals("/api/targets")) {
-                boolean other = exchange.getLocalAddress().getAddress().getAddress()[3] == 2;
-                received.add((other ? "other " : "") + path + " " + (id == null ? "" : id + " ") + body);
+                boolean secondReceiver = exchange.getLocalAddress().getAddress().getAddress()[3] == 2;
+                received.add((secondReceiver ? "other " : "") + path + " " + (id == null ? "" : id + " ") + body);
             }
             if (path.equals("/api/targets") && discoverySilent) {
                 return;
             }
             if (path.equals("/api/targets") && discoveryResponse != null) {
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(200)); // A node that does not wait has sent by then.
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(200)); // A node that does not wait for the list has sent by then.
                 exchange.sendResponseHeaders(200, 0);
                 exchange.getResponseBody().write(discoveryResponse.getBytes(StandardCharsets.UTF_8));
                 exchange.getResponseBody().flush();
-                return; // A watch stays open.
+                return; // The response to a watch stays open.
             }
             int status = path.equals("/events") ? receiverStatus : path.equals("/v2/finals") ? platformStatus : 503;
             exchange.sendResponseHeaders(status, -1);
@@ -116,21 +116,22 @@
                 + fields + "\r\n$4\r\nbody\r\n";
     }
 
-    private static String exchange(InetSocketAddress node, String text, int answers) throws IOException {
-        try (Socket socket = new Socket(node.getAddress(), node.getPort())) {
+    /** Sends the text on a new connection and returns that many lines of the reply. */
+    private static String exchange(InetSocketAddress address, String text, int replies) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            StringBuilder got = new StringBuilder();
-            for (int lines = 0; lines < answers;) {
+            StringBuilder reply = new StringBuilder();
+            for (int lines = 0; lines < replies;) {
                 int c = socket.getInputStream().read();
-                got.append((char) c);
+                reply.append((char) c);
                 lines += c == '\n' || c < 0 ? 1 : 0;
             }
-            return got.toString();
+            return reply.toString();
         }
     }
 
-    /** The two receivers, each of a status, and of the destinations of these numbers. */
+    /** A full list of the two receivers with these statuses; the first belongs to destination firstGroup, the second to destination 1. */
     private String listOfTwoReceivers(int index, String first, int firstGroup, String second) {
         String entry = "{'name':'receiver-%1$d','address':'127.0.0.%1$d:%2$d','type':'small','zone':'home','group':%3$d,'status':'%4$s'}";
         return ("{'index':" + index + ",'snapshot':true,'endpoints':["
@@ -138,59 +139,60 @@
                 + String.format(entry, 2, outsideServer.getAddress().getPort(), 1, second) + "]}\n").replace('\'', '"');
     }
 
-    private HeldMail recordOutstandingMail(String id, boolean outAtTheEnd, Ending ending) throws IOException {
+    /** Leaves a mail of an earlier process in the journal; inFlight: with an attempt that had not ended; ending: null for none. */
+    private HeldMail recordOutstandingMail(String id, boolean inFlight, Ending ending) throws IOException {
         try (Journal journal = Journal.open(stateFolder, 2_000_000)) {
-            long wall = 1000 * System.currentTimeMillis();
-            HeldMail held = new HeldMail(new Submission(id, "5", "order", "shop", "tag", 1, new byte[] {'x'}),
-                    wall + 15_000_000);
-            journal.accepted(held);
-            if (outAtTheEnd) {
-                journal.attemptStarted(held, new RecordedAttempt(0, "receiver-1", 0, wall - 100_000, false));
+            long wallMicros = 1000 * System.currentTimeMillis();
+            HeldMail mail = new HeldMail(new Submission(id, "5", "order", "shop", "tag", 1, new byte[] {'x'}),
+                    wallMicros + 15_000_000);
+            journal.accepted(mail);
+            if (inFlight) {
+                journal.attemptStarted(mail, new RecordedAttempt(0, "receiver-1", 0, wallMicros - 100_000, false));
             }
             if (ending != null) {
-                journal.ended(held, ending);
+                journal.ended(mail, ending);
             }
             journal.write();
-            return held;
+            return mail;
         }
     }
 
     @Test void acceptedMailIsRelayedAndNothingStaysOutstanding() throws Exception {
-        InetSocketAddress at = startNode();
+        InetSocketAddress address = startNode();
         String fields = "c=order,t=shop,d=9000,k=tag,dest=1";
-        assertThat(exchange(at, enqueue("a1", fields) + "*1\r\n$4\r\nPING\r\n", 2)).isEqualTo("+OK\r\n+PONG\r\n");
+        assertThat(exchange(address, enqueue("a1", fields) + "*1\r\n$4\r\nPING\r\n", 2)).isEqualTo("+OK\r\n+PONG\r\n");
         assertThat(nextReceived()).isEqualTo("/events a1 body");
         assertStopsWithNothingOutstanding();
     }
 
-    /** Has the node stand still until the latch is counted down. */
+    /** Blocks the node's event loop until the returned latch is counted down. */
     private CountDownLatch blockLoop() throws InterruptedException {
-        CountDownLatch standing = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         node.loop().execute(() -> {
-            standing.countDown();
+            blocked.countDown();
             try {
-                goesOn.await();
+                release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        standing.await();
-        return goesOn;
+        blocked.await();
+        return release;
     }
 
-    /** Guards requests that wait unread while the node is short of its core: none is answered by a close. */
+    /** A request that waits unread while the node is short of CPU time must not be answered by a closed connection. */
     @Test void clientWithUnreadRequestIsNotClosedToMakeRoom() throws Exception {
         descriptors = 55;
-        InetSocketAddress at = startNode();
-        try (Socket first = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        try (Socket first = new Socket(address.getAddress(), address.getPort())) {
             assertThat(ping(first)).isEqualTo(7);
-            try (Socket second = new Socket(at.getAddress(), at.getPort())) {
+            try (Socket second = new Socket(address.getAddress(), address.getPort())) {
                 assertThat(ping(second)).isEqualTo(7);
-                CountDownLatch goesOn = blockLoop();
-                try (Socket third = new Socket(at.getAddress(), at.getPort())) {
+                CountDownLatch release = blockLoop();
+                try (Socket third = new Socket(address.getAddress(), address.getPort())) {
                     first.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
-                    goesOn.countDown();
+                    release.countDown();
                     assertThat(first.getInputStream().readNBytes(7)).hasSize(7);
                     assertThat(third.isConnected()).isTrue();
                 }
@@ -198,44 +200,44 @@
         }
     }
 
-    /** Guards ends in time: a request's time runs from when it was sent, also while it waits unread. */
+    /** A mail's lifetime runs from when its request was sent, also while the request waits unread; otherwise it would end too late. */
     @Test void timeThatARequestWaitedUnreadCountsTowardsItsLifetime() throws Exception {
         receiverStatus = 503;
-        InetSocketAddress at = startNode();
-        CountDownLatch goesOn = blockLoop();
-        long sent = 1000 * System.currentTimeMillis();
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        CountDownLatch release = blockLoop();
+        long sentAtMicros = 1000 * System.currentTimeMillis();
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.getOutputStream().write(enqueue("a1", "c=order,t=shop,d=9000,dest=1").getBytes());
             Thread.sleep(100);
-            goesOn.countDown();
+            release.countDown();
             client.setSoTimeout(20_000);
             assertThat(client.getInputStream().read()).isEqualTo('+');
         }
         node.stop();
         node.stopped().get(20, TimeUnit.SECONDS);
-        assertThat(Journal.read(stateFolder).get(0).deadline).isLessThanOrEqualTo(sent + 9_001_000);
+        assertThat(Journal.read(stateFolder).get(0).deadline).isLessThanOrEqualTo(sentAtMicros + 9_001_000);
     }
 
-    /** Guards against delivering for a client that gave up: it hands the mail in again under a new id. */
+    /** A client that gave up submits the mail again under a new id, so the first request must not be delivered too. */
     @Test void mailOfADisconnectedClientIsNotAccepted() throws Exception {
-        InetSocketAddress at = startNode();
-        CountDownLatch goesOn = blockLoop();
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        CountDownLatch release = blockLoop();
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write(enqueue("a1", "c=order,t=shop,d=9000,dest=1").getBytes());
         }
-        goesOn.countDown();
-        assertThat(exchange(at, enqueue("a2", "c=order,t=shop,d=9000,dest=1"), 1)).startsWith("+OK");
+        release.countDown();
+        assertThat(exchange(address, enqueue("a2", "c=order,t=shop,d=9000,dest=1"), 1)).startsWith("+OK");
         assertThat(nextReceived()).isEqualTo("/events a2 body");
     }
 
-    /** A client that ends its sending may still listen: it hears that its mail was not taken on, and other answers. */
+    /** A client that closes its sending side may still read: it learns that its mail was not accepted, and gets its other replies. */
     @Test void halfClosedClientStillReceivesItsReplies() throws Exception {
-        InetSocketAddress at = startNode();
-        CountDownLatch goesOn = blockLoop();
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        CountDownLatch release = blockLoop();
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.getOutputStream().write(("*1\r\n$4\r\nPING\r\n" + enqueue("a1", "c=order,t=shop,d=9000,dest=1")).getBytes());
             client.shutdownOutput();
-            goesOn.countDown();
+            release.countDown();
             client.setSoTimeout(20_000);
             assertThat(new String(client.getInputStream().readAllBytes())).isEqualTo("+PONG\r\n-BUSY\r\n");
         }
@@ -243,37 +245,40 @@
         assertThat(received).isEmpty();
     }
 
-    /** Guards a request that is sent once more on a new connection, in the turn in which the old one is found closed. */
+    /**
+     * A request is sent again on a new connection, in the iteration in which the old one is found closed: it is not a duplicate of
+     * another client's.
+     */
     @Test void sameIdIsAcceptedAgainInTheIterationInWhichItsClientLeft() throws Exception {
-        InetSocketAddress at = startNode();
-        CountDownLatch goesOn = blockLoop();
-        try (Socket left = new Socket(at.getAddress(), at.getPort())) {
-            left.getOutputStream().write(enqueue("a1", "c=order,t=shop,d=9000,dest=1").getBytes());
+        InetSocketAddress address = startNode();
+        CountDownLatch release = blockLoop();
+        try (Socket disconnected = new Socket(address.getAddress(), address.getPort())) {
+            disconnected.getOutputStream().write(enqueue("a1", "c=order,t=shop,d=9000,dest=1").getBytes());
         }
-        try (Socket again = new Socket(at.getAddress(), at.getPort())) {
-            again.getOutputStream().write(enqueue("a1", "c=order,t=shop,d=9000,dest=1").getBytes());
-            goesOn.countDown();
-            again.setSoTimeout(20_000);
-            assertThat(new String(again.getInputStream().readNBytes(5))).isEqualTo("+OK\r\n");
+        try (Socket reconnected = new Socket(address.getAddress(), address.getPort())) {
+            reconnected.getOutputStream().write(enqueue("a1", "c=order,t=shop,d=9000,dest=1").getBytes());
+            release.countDown();
+            reconnected.setSoTimeout(20_000);
+            assertThat(new String(reconnected.getInputStream().readNBytes(5))).isEqualTo("+OK\r\n");
         }
         assertThat(nextReceived()).isEqualTo("/events a1 body");
         assertStopsWithNothingOutstanding();
     }
 
-    /** Guards requests that wait unread, and connections not yet accepted, when a planned stop closes the door. */
+    /** A graceful shutdown must not lose requests that wait unread, nor connections not yet accepted, when it stops accepting. */
     @Test void stopAcceptingPollsTheSocketsOnceMore() throws Exception {
-        InetSocketAddress at = startNode();
-        try (Socket known = new Socket(at.getAddress(), at.getPort())) {
-            assertThat(ping(known)).isEqualTo(7);
-            CountDownLatch goesOn = blockLoop();
-            try (Socket fresh = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        try (Socket accepted = new Socket(address.getAddress(), address.getPort())) {
+            assertThat(ping(accepted)).isEqualTo(7);
+            CountDownLatch release = blockLoop();
+            try (Socket unaccepted = new Socket(address.getAddress(), address.getPort())) {
                 node.loop().execute(node::stopAccepting);
-                for (Socket client : List.of(known, fresh)) {
+                for (Socket client : List.of(accepted, unaccepted)) {
                     client.setSoTimeout(20_000);
                     client.getOutputStream().write(enqueue("a" + client.getLocalPort(), "c=order,t=shop,d=9000,dest=1").getBytes());
                 }
-                goesOn.countDown();
-                for (Socket client : List.of(known, fresh)) {
+                release.countDown();
+                for (Socket client : List.of(accepted, unaccepted)) {
                     assertThat(new String(client.getInputStream().readAllBytes())).isEqualTo("-BUSY\r\n");
                 }
             }
@@ -281,7 +286,7 @@
         assertThat(received).isEmpty();
     }
 
-    /** Guards what a turn has read when the process ends in it: it is answered and in the journal first. */
+    /** The process ends in the iteration that has read a request: it is recorded in the journal and answered first. */
     @Test void finishWaitsForTheRepliesOfTheIteration() throws Exception {
         receiverStatus = 503;
         startNode();
@@ -300,19 +305,19 @@
         });
         assertThat(node.stopped().get(20, TimeUnit.SECONDS)).isZero();
         assertThat(answered).isCompletedWithValue(new Reply.Accepted());
-        assertThat(Journal.read(stateFolder)).extracting(held -> held.submission.id()).containsExactly("a1");
+        assertThat(Journal.read(stateFolder)).extracting(mail -> mail.submission.id()).containsExactly("a1");
     }
 
-    /** Guards answers that a client has not read: bytes that nobody reads any more would reset its connection. */
+    /** A client must get the replies that it has not read yet: bytes that nobody reads any more would reset its connection. */
     @Test void unreadRequestsAtCloseDestroyNoReply() throws Exception {
-        InetSocketAddress at = startNode();
-        CountDownLatch goesOn = blockLoop();
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        CountDownLatch release = blockLoop();
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.getOutputStream().write("PING\r\n".repeat(65).getBytes(StandardCharsets.US_ASCII));
-            goesOn.countDown();
+            release.countDown();
             client.setSoTimeout(20_000);
             assertThat(new String(client.getInputStream().readNBytes(7))).isEqualTo("+PONG\r\n");
-            for (int i = 0; i < 200; i++) { // The node has written its last answer; a reset would show at the second write.
+            for (int i = 0; i < 200; i++) { // The node has written its last reply; a reset would show at the second write.
                 client.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
                 node.loop().submit(() -> { }).get();
             }
@@ -322,13 +327,13 @@
     }
 
     @Test void unknownNamesAndMalformedRequestsAreErrors() throws Exception {
-        InetSocketAddress at = startNode();
-        assertThat(exchange(at, enqueue("a", "c=other,t=shop,d=9000,dest=1"), 1)).startsWith("-ERR");
-        assertThat(exchange(at, enqueue("a", "c=order,t=other,d=9000,dest=1"), 1)).startsWith("-ERR");
-        assertThat(exchange(at, enqueue("a", "c=order,t=shop,d=9000,dest=2"), 1)).startsWith("-ERR");
-        assertThat(exchange(at, "*1\r\n:5\r\n", 1)).startsWith("-ERR");
-        assertThat(exchange(at, enqueue("a", "c=order,t=shop,d=0,dest=1"), 1)).startsWith("-BUSY");
-        assertThat(exchange(at, enqueue("a1", "c=order,t=shop,d=9000,dest=1"), 1)).startsWith("+OK");
+        InetSocketAddress address = startNode();
+        assertThat(exchange(address, enqueue("a", "c=other,t=shop,d=9000,dest=1"), 1)).startsWith("-ERR");
+        assertThat(exchange(address, enqueue("a", "c=order,t=other,d=9000,dest=1"), 1)).startsWith("-ERR");
+        assertThat(exchange(address, enqueue("a", "c=order,t=shop,d=9000,dest=2"), 1)).startsWith("-ERR");
+        assertThat(exchange(address, "*1\r\n:5\r\n", 1)).startsWith("-ERR");
+        assertThat(exchange(address, enqueue("a", "c=order,t=shop,d=0,dest=1"), 1)).startsWith("-BUSY");
+        assertThat(exchange(address, enqueue("a1", "c=order,t=shop,d=9000,dest=1"), 1)).startsWith("+OK");
         assertThat(nextReceived()).startsWith("/events a1");
     }
 
@@ -338,15 +343,15 @@
         return client.getInputStream().readNBytes(7).length;
     }
 
-    /** Guards the descriptors: 32 of the node's own, 8 calls and 13 idle connections leave room for 2 clients. */
+    /** Clients must not use up the file descriptors: 32 of the node's own, 8 calls and 13 idle connections leave room for 2 clients. */
     @Test void surplusClientsAreClosedLeastRecentlyUsedFirst() throws Exception {
         descriptors = 55;
-        InetSocketAddress at = startNode();
-        try (Socket first = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        try (Socket first = new Socket(address.getAddress(), address.getPort())) {
             assertThat(ping(first)).isEqualTo(7);
-            try (Socket second = new Socket(at.getAddress(), at.getPort())) {
+            try (Socket second = new Socket(address.getAddress(), address.getPort())) {
                 assertThat(ping(second) + ping(first)).isEqualTo(14);
-                try (Socket third = new Socket(at.getAddress(), at.getPort())) {
+                try (Socket third = new Socket(address.getAddress(), address.getPort())) {
                     assertThat(ping(third)).isEqualTo(7);
                     assertThat(second.getInputStream().read()).isEqualTo(-1);
                     assertThat(ping(first)).isEqualTo(7);
@@ -355,11 +360,14 @@
         }
     }
 
-    /** Guards the descriptors against clients that say nothing or half a request, and are owed an end of it. */
+    /**
+     * Clients that send nothing, or half a request, must not use up the file descriptors; the one with half a request gets an error
+     * reply.
+     */
     @Test void clientWithoutACompleteRequestInTimeIsClosed() throws Exception {
-        InetSocketAddress at = startNode();
-        try (Socket silent = new Socket(at.getAddress(), at.getPort());
-                Socket half = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        try (Socket silent = new Socket(address.getAddress(), address.getPort());
+                Socket half = new Socket(address.getAddress(), address.getPort())) {
             silent.setSoTimeout(20_000);
             half.setSoTimeout(20_000);
             half.getOutputStream().write("*5\r\n$7\r\nENQ".getBytes(StandardCharsets.US_ASCII));
@@ -368,10 +376,10 @@
         }
     }
 
-    /** Guards the turn against hundreds of commands at once: the rest is not read. */
+    /** Hundreds of requests at once would make a long iteration: those beyond the limit are not read. */
     @Test void clientWithTooManyRequestsAtOnceIsClosedAfterItsReplies() throws Exception {
-        InetSocketAddress at = startNode();
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+        InetSocketAddress address = startNode();
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write("PING\r\n".repeat(150).getBytes(StandardCharsets.US_ASCII));
             assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII))
@@ -379,21 +387,21 @@
         }
     }
 
-    /** Guards clients that ask: a crowd that says nothing is closed before them, however lately it came. */
+    /** Many silent connections are closed before clients that send requests, however recently they were opened. */
     @Test void silentConnectionsDoNotDisplaceActiveClients() throws Exception {
         descriptors = 55;
-        InetSocketAddress at = startNode();
-        try (Socket asks = new Socket(at.getAddress(), at.getPort())) {
-            assertThat(ping(asks)).isEqualTo(7);
+        InetSocketAddress address = startNode();
+        try (Socket active = new Socket(address.getAddress(), address.getPort())) {
+            assertThat(ping(active)).isEqualTo(7);
             for (int i = 0; i < 5; i++) {
-                try (Socket silent = new Socket(at.getAddress(), at.getPort());
-                        Socket next = new Socket(at.getAddress(), at.getPort())) {
+                try (Socket silent = new Socket(address.getAddress(), address.getPort());
+                        Socket next = new Socket(address.getAddress(), address.getPort())) {
                     silent.setSoTimeout(20_000);
                     assertThat(silent.getInputStream().read()).isEqualTo(-1);
                     assertThat(next.isConnected()).isTrue();
                 }
             }
-            assertThat(ping(asks)).isEqualTo(7);
+            assertThat(ping(active)).isEqualTo(7);
         }
     }
 
@@ -406,7 +414,9 @@
         assertStopsWithNothingOutstanding();
     }
 
-    /** What was owed went out by the list in the config, to endpoints that drained while no process ran. */
+    /**
+     * Failure: after a restart outstanding mails went out by the list in the config, to endpoints that began to drain while no process ran.
+     */
     @Test void nothingIsSentAfterARestartBeforeDiscoveryAnswers() throws Exception {
         discoveryResponse = listOfTwoReceivers(5, "DRAINING", 1, "SERVING");
         recordOutstandingMail("a1", false, null);
@@ -414,11 +424,11 @@
         assertThat(nextReceived()).isEqualTo("other /events a1 x");
     }
 
-    /** Guards drains that an earlier process was told of, while discovery says nothing to this one. */
+    /** Drains that an earlier process was told of still apply while discovery says nothing to this one. */
     @Test void storedListAppliesToTheNextProcess() throws Exception {
         discoveryResponse = listOfTwoReceivers(5, "DRAINING", 1, "SERVING");
-        InetSocketAddress at = startNode();
-        assertThat(exchange(at, enqueue("a1", "c=order,t=shop,d=9000,k=tag,dest=1"), 1)).startsWith("+OK");
+        InetSocketAddress address = startNode();
+        assertThat(exchange(address, enqueue("a1", "c=order,t=shop,d=9000,k=tag,dest=1"), 1)).startsWith("+OK");
         assertThat(nextReceived()).isEqualTo("other /events a1 body");
         assertStopsWithNothingOutstanding();
         discoverySilent = true;
@@ -427,7 +437,7 @@
         assertThat(nextReceived()).isEqualTo("other /events a2 x");
     }
 
-    /** A list in the state folder that is spoilt, of another form, or older than the config's is as if it were not there. */
+    /** A stored list that is damaged, of another format, or older than the config's is treated as if it were not there. */
     @ParameterizedTest
     @ValueSource(strings = {"", "{\"form\":1,\"from\":\"127.0.0.1:9\",\"list\":{\"index\":7,\"endp", "{\"form\":2,\"list\":{\"index\":7}}",
         "{\"form\":1,\"from\":\"127.0.0.1:9\",\"list\":{\"index\":-7,\"endpoints\":[]}}", "[]", "\u0000"})
@@ -439,23 +449,23 @@
         assertStopsWithNothingOutstanding();
     }
 
-    /** Guards mails against another destination's receiver: a name that is listed anew with another group is another endpoint. */
+    /** A name that is listed again with another group is another endpoint: otherwise mails would go to another destination's receiver. */
     @Test void nameListedForAnotherDestinationIsAnotherEndpoint() throws Exception {
         discoveryResponse = listOfTwoReceivers(5, "SERVING", 2, "DRAINING");
-        InetSocketAddress at = startNode();
-        String answer = "-ERR";
-        for (int i = 0; i < 2000 && answer.startsWith("-ERR"); i++) {
+        InetSocketAddress address = startNode();
+        String reply = "-ERR";
+        for (int i = 0; i < 2000 && reply.startsWith("-ERR"); i++) {
             Thread.sleep(5);
-            answer = exchange(at, enqueue("b1", "c=order,t=shop,d=9000,dest=2"), 1);
+            reply = exchange(address, enqueue("b1", "c=order,t=shop,d=9000,dest=2"), 1);
         }
-        assertThat(answer).startsWith("+OK");
+        assertThat(reply).startsWith("+OK");
         assertThat(nextReceived()).isEqualTo("/events b1 body");
-        // Its own destination has nobody left that serves.
-        assertThat(exchange(at, enqueue("a1", "c=order,t=shop,d=2000,dest=1"), 1)).startsWith("+OK");
+        // Its own destination has no serving endpoint left.
+        assertThat(exchange(address, enqueue("a1", "c=order,t=shop,d=2000,dest=1"), 1)).startsWith("+OK");
         assertThat(nextReceived()).startsWith("/v2/finals {\"id\":\"a1\"");
     }
 
-    /** Guards effects: a once-only mail whose call was out when the process ended may have run. */
+    /** A once-only mail whose call was in flight when the process ended may have run, and must not take effect twice. */
     @Test void onceOnlyMailThatMayHaveRunEndsUndeliverable() throws Exception {
         effect = "side_effect";
         recordOutstandingMail("a1", true, null);
@@ -464,7 +474,7 @@
         assertStopsWithNothingOutstanding();
     }
 
-    /** Guards mails of a class that the config no longer has: no other's settings judge them. */
+    /** A mail of a class that the config no longer has must not be decided by another class's settings. */
     @Test void mailOfARemovedClassEndsUndeliverable() throws Exception {
         try (Journal journal = Journal.open(stateFolder, 2_000_000)) {
             journal.accepted(new HeldMail(new Submission("a1", "5", "gone", "shop", "tag", 1, new byte[] {'x'}),
@@ -476,7 +486,9 @@
         assertStopsWithNothingOutstanding();
     }
 
-    /** Guards endings and the order of keys: a notice goes until it is confirmed, and its key waits for that. */
+    /**
+     * A notice is repeated until it is confirmed, and the next mail of its order key waits for that: endings and order must not be lost.
+     */
     @Test void noticeIsRepeatedUntilConfirmedAndBlocksItsKey() throws Exception {
         platformStatus = 503;
         recordOutstandingMail("a1", false, new Ending(true, 0));
@@ -494,7 +506,7 @@
         assertStopsWithNothingOutstanding();
     }
 
-    /** News that another thread brings are put on the loop: two threads at a time in its state would lose decisions. */
+    /** Work that another thread brings is moved to the loop: two threads at a time in the node's state would lose actions. */
     @Test void workFromAnotherThreadRunsOnTheLoop() throws Exception {
         startNode();
         CompletableFuture<Boolean> onLoop = new CompletableFuture<>();
@@ -502,46 +514,46 @@
         assertThat(onLoop.get(20, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** A decision that is lost on its way leaves no message owed for ever: the platform is told, if late. */
+    /** An action that is lost on its way must not leave a mail outstanding forever: the platform is told, if late. */
     @Test void mailThatOnlyTheDecisionsTakeForEndedIsFoundAndEnded() throws Exception {
         receiverStatus = 500;
         effect = "side_effect";
         dispatcherFactory = settings -> withoutEndings(new DeliveryDispatcher(settings));
-        InetSocketAddress at = startNode();
-        assertThat(exchange(at, enqueue("b1", "c=order,t=shop,d=1500,dest=1"), 1)).startsWith("+OK");
+        InetSocketAddress address = startNode();
+        assertThat(exchange(address, enqueue("b1", "c=order,t=shop,d=1500,dest=1"), 1)).startsWith("+OK");
         assertThat(nextReceived()).startsWith("/events b1");
         assertThat(nextReceived()).isEqualTo("/v2/finals {\"id\":\"b1\",\"status\":\"undeliverable\"}");
         assertStopsWithNothingOutstanding();
     }
 
-    private static Dispatcher withoutEndings(Dispatcher sound) {
+    private static Dispatcher withoutEndings(Dispatcher dispatcher) {
         return (Dispatcher) Proxy.newProxyInstance(Dispatcher.class.getClassLoader(), new Class<?>[] {Dispatcher.class},
-                (proxy, method, words) -> ((List<?>) method.invoke(sound, words)).stream().filter(decision ->
-                !(decision instanceof Action.Bounce) && !(decision instanceof Action.Defer)).toList());
+                (proxy, method, arguments) -> ((List<?>) method.invoke(dispatcher, arguments)).stream().filter(action ->
+                !(action instanceof Action.Bounce) && !(action instanceof Action.Defer)).toList());
     }
 
-    /** Guards the order of a key whose only mail has ended unconfirmed, when the directory has dropped the key meanwhile. */
+    /** The order of a key whose only mail has ended unconfirmed holds even if the directory has dropped the key meanwhile. */
     @Test void removedKeyStillWaitsForTheNotice() throws Exception {
         platformStatus = 503;
         weight = 1000;
         recordOutstandingMail("a1", false, new Ending(true, 0));
-        InetSocketAddress at = startNode();
-        assertThat(exchange(at, enqueue("b99", "c=order,t=shop,d=9000,dest=1").replace("$1\r\n5\r\n", "$2\r\n99\r\n"), 1)).startsWith("+OK");
+        InetSocketAddress address = startNode();
+        assertThat(exchange(address, enqueue("b99", "c=order,t=shop,d=9000,dest=1").replace("$1\r\n5\r\n", "$2\r\n99\r\n"), 1)).startsWith("+OK");
         while (!nextReceived().startsWith("/events b99")) {
-            Thread.onSpinWait(); // Once it is called, keys rest no longer after the start.
+            Thread.onSpinWait(); // Once it is sent, order keys are no longer blocked after the start.
         }
         StringBuilder others = new StringBuilder();
-        for (int i = 100; i < 196; i++) { // As many keys as make the directory drop those that no mail waits for.
+        for (int i = 100; i < 196; i++) { // Enough keys to make the directory drop those that no mail waits for.
             others.append(enqueue("b" + i, "c=order,t=shop,d=9000,dest=1").replace("$1\r\n5\r\n", "$3\r\n" + i + "\r\n"));
             if (i % 32 == 3) {
-                assertThat(exchange(at, others.toString(), 32)).doesNotContain("-ERR");
+                assertThat(exchange(address, others.toString(), 32)).doesNotContain("-ERR");
                 others.setLength(0);
             }
         }
-        assertThat(exchange(at, enqueue("a2", "c=order,t=shop,d=9000,dest=1"), 1)).startsWith("+OK");
-        assertThat(exchange(at, enqueue("c1", "c=order,t=shop,d=9000,dest=1").replace("$1\r\n5\r\n", "$1\r\n7\r\n"), 1)).startsWith("+OK");
+        assertThat(exchange(address, enqueue("a2", "c=order,t=shop,d=9000,dest=1"), 1)).startsWith("+OK");
+        assertThat(exchange(address, enqueue("c1", "c=order,t=shop,d=9000,dest=1").replace("$1\r\n5\r\n", "$1\r\n7\r\n"), 1)).startsWith("+OK");
         String last = nextReceived();
-        while (!last.startsWith("/events c1")) { // It came after a2, at another key.
+        while (!last.startsWith("/events c1")) { // It was submitted after a2, with another key.
             assertThat(last).doesNotContain("a2");
             last = nextReceived();
         }
@@ -552,11 +564,11 @@
         assertStopsWithNothingOutstanding();
     }
 
-    /** Guards endings while the platform moves: what the old address did not answer goes to the new one. */
+    /** Endings must not be lost while the platform moves: what the old address did not answer goes to the new one. */
     @Test void listAndNoticesUseTheNewAddressAfterAReload() throws Exception {
         platformStatus = 503;
         recordOutstandingMail("a1", false, new Ending(true, 0));
-        InetSocketAddress at = startNode();
+        InetSocketAddress address = startNode();
         assertThat(nextReceived()).startsWith("/v2/finals");
         HttpServer moved = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         moved.createContext("/api/targets", exchange -> {
@@ -575,12 +587,12 @@
         moved.start();
         try {
             node.setDiscoveryAddress(moved.getAddress());
-            String told = nextReceived();
-            while (told.startsWith("/v2/finals")) {
-                told = nextReceived();
+            String notice = nextReceived();
+            while (notice.startsWith("/v2/finals")) {
+                notice = nextReceived();
             }
-            assertThat(told).isEqualTo("moved {\"id\":\"a1\",\"status\":\"deferred\"}");
-            while (exchange(at, enqueue("b1", "c=order,t=shop,d=9000,dest=2"), 1).startsWith("-ERR")) {
+            assertThat(notice).isEqualTo("moved {\"id\":\"a1\",\"status\":\"deferred\"}");
+            while (exchange(address, enqueue("b1", "c=order,t=shop,d=9000,dest=2"), 1).startsWith("-ERR")) {
                 Thread.onSpinWait();
             }
             assertThat(nextReceived()).isEqualTo("/events b1 body");
@@ -591,13 +603,13 @@
 
     @Test void stopKeepsMailsThatCouldNotBeRelayed() throws Exception {
         receiverStatus = 503;
-        InetSocketAddress at = startNode();
-        assertThat(exchange(at, enqueue("a1", "c=order,t=shop,d=20000,dest=1"), 1)).startsWith("+OK");
+        InetSocketAddress address = startNode();
+        assertThat(exchange(address, enqueue("a1", "c=order,t=shop,d=20000,dest=1"), 1)).startsWith("+OK");
         assertThat(nextReceived()).startsWith("/events a1");
         node.stop();
         assertThat(node.stopped().get(20, TimeUnit.SECONDS)).isZero();
-        List<HeldMail> owed = Journal.read(stateFolder);
-        assertThat(owed).hasSize(1);
-        assertThat(owed.get(0).attempts).isNotEmpty().allMatch(RecordedAttempt::neverRan);
+        List<HeldMail> outstanding = Journal.read(stateFolder);
+        assertThat(outstanding).hasSize(1);
+        assertThat(outstanding.get(0).attempts).isNotEmpty().allMatch(RecordedAttempt::neverRan);
     }
 }
--- a/node/src/test/java/wrenreach/node/EndpointsInUseTest.java
+++ b/node/src/test/java/wrenreach/node/EndpointsInUseTest.java
@@ -30,8 +30,9 @@
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
 
-/** The list in a table, and the module and the calls that know what is in use of it. Nothing goes out. */
+/** The endpoint list in a table, with decisions and calls that know the part of it that is in use. Nothing is sent. */
 class EndpointsInUseTest implements Calls.Host {
+    /** Destinations that may be in use at a time. */
     private static final int MAX_IN_USE = 10;
     private final MultiThreadIoEventLoopGroup loopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EndpointTable table = new EndpointTable(1_000_000, "a test");
@@ -60,13 +61,13 @@
         return 0;
     }
 
-    @Override public void attemptEnded(HeldMail held, DeliveryAttempt connect, Outcome outcome, double[] report, boolean over) { }
+    @Override public void attemptEnded(HeldMail mail, DeliveryAttempt attempt, Outcome outcome, double[] report, boolean completed) { }
 
-    @Override public boolean isBlocked(HeldMail held) {
+    @Override public boolean isBlocked(HeldMail mail) {
         return false;
     }
 
-    @Override public void beforeSend(HeldMail held, DeliveryAttempt connect) { }
+    @Override public void beforeSend(HeldMail mail, DeliveryAttempt attempt) { }
 
     private static ListUpdate.Entry entry(int number, int destination, String status) {
         return new ListUpdate.Entry("e" + number, "127.0.0.1:" + (1000 + number), "home", "small", destination, status, 10);
@@ -92,11 +93,12 @@
         return mail;
     }
 
-    private List<DeliveryAttempt> turn(long later) {
-        now += later;
+    /** Runs the decisions after a delay in microseconds and returns the attempts that they want to send. */
+    private List<DeliveryAttempt> runIteration(long delay) {
+        now += delay;
         actions.clear();
         actions.addAll(dispatcher.nextActions(now));
-        return actions.stream().filter(Action.Send.class::isInstance).map(a -> ((Action.Send) a).attempt()).toList();
+        return actions.stream().filter(Action.Send.class::isInstance).map(action -> ((Action.Send) action).attempt()).toList();
     }
 
     @Test void shortListIsEntirelyInUse() throws IOException {
@@ -108,49 +110,55 @@
         }
     }
 
-    /** Of a long list those are known that a mail comes for; a mail for any goes out, and the number stays bounded. */
+    /**
+     * Of a long list only the destinations are known that a mail arrives for; a mail for any of them is sent, and their number stays
+     * bounded.
+     */
     @Test void longListIsInUseOnlyWhereMailsArrive() throws IOException {
         listDestinations(1000);
         assertThat(inUse.size()).isZero();
         assertThat(directory.listed(500)).isFalse();
         for (int i = 0; i < 1000; i++) {
             Mail mail = admitMail(i);
-            List<DeliveryAttempt> sent = turn(1000);
-            assertThat(sent).extracting(c -> c.endpoint.destination.number).containsExactly(i);
+            List<DeliveryAttempt> sent = runIteration(1000);
+            assertThat(sent).extracting(attempt -> attempt.endpoint.destination.number).containsExactly(i);
             actions.addAll(dispatcher.attemptEnded(sent.get(0), new Outcome.Delivered(), new double[0], true, now));
             assertThat(mail.finished).isTrue();
-            turn(10_000_000);
+            runIteration(10_000_000);
             assertThat(inUse.size()).isLessThanOrEqualTo(MAX_IN_USE + 1);
         }
-        assertThat(directory.listed(500)).as("given back").isFalse();
+        assertThat(directory.listed(500)).as("evicted").isFalse();
         assertThat(directory.listed(999)).isTrue();
         inUse.activate(5000, now);
         assertThat(directory.listed(5000)).as("no list names it").isFalse();
     }
 
-    /** Guards told waits, parked mails and cold receivers: what remembers something is not made as new. */
+    /**
+     * Retry-after waits, waiting mails and receivers in slow start must not be lost: a destination with learned state is not created
+     * anew.
+     */
     @Test void destinationWithPendingWorkOrLearnedStateIsNotEvicted() throws IOException {
         listDestinations(1000);
         admitMail(100);
         directory.destination(100).routes.get(0).backoffUntil = now + 5_000_000;
-        Mail parked = admitMail(100);
+        Mail waiting = admitMail(100);
         admitMail(200);
-        turn(0).forEach(c -> actions.addAll(dispatcher.attemptEnded(c, new Outcome.ConnectFailed(), new double[0], false, now)));
+        runIteration(0).forEach(attempt -> actions.addAll(dispatcher.attemptEnded(attempt, new Outcome.ConnectFailed(), new double[0], false, now)));
         directory.destination(200).queue.clear();
         directory.destination(200).routes.get(0).inSlowStart = true;
         directory.destination(200).routes.get(0).backoffUntil = now;
-        turn(1000);
+        runIteration(1000);
         assertThat(directory.destination(200).busy).isFalse();
         for (int i = 300; i < 300 + MAX_IN_USE; i++) {
             inUse.activate(i, now);
         }
         assertThat(directory.listed(200)).as("its receiver has failed").isTrue();
         assertThat(directory.listed(100)).isTrue();
-        assertThat(directory.destination(100).queue).contains(parked);
+        assertThat(directory.destination(100).queue).contains(waiting);
         assertThat(inUse.size()).isLessThanOrEqualTo(MAX_IN_USE + 2);
     }
 
-    /** Guards memory: what is given back is known to nobody any more. */
+    /** Nothing refers to an evicted destination any more; otherwise memory would leak. */
     @Test void evictedDestinationIsGarbageCollected() throws IOException {
         listDestinations(1000);
         inUse.activate(0, now);
@@ -164,7 +172,7 @@
         assertThat(first.get()).isNull();
     }
 
-    /** A drain is heeded whether or not its destination is in use when it is told. */
+    /** A drain takes effect whether or not its destination is in use when it is listed. */
     @Test void drainsAreAppliedInUseOrNot() throws IOException {
         listDestinations(1000);
         admitMail(700);
@@ -172,26 +180,26 @@
         assertThat(directory.endpoint("e700").ready).isFalse();
         inUse.activate(800, now);
         assertThat(directory.endpoint("e800").ready).isFalse();
-        turn(1000);
+        runIteration(1000);
         admitMail(800);
-        assertThat(turn(1000)).as("nobody serves there").extracting(c -> c.endpoint.destination.number).doesNotContain(700, 800);
+        assertThat(runIteration(1000)).as("no endpoint serves there").extracting(attempt -> attempt.endpoint.destination.number).doesNotContain(700, 800);
         applyList(false, entry(800, 800, "SERVING"));
-        assertThat(turn(1000)).extracting(c -> c.endpoint.destination.number).containsExactly(800);
+        assertThat(runIteration(1000)).extracting(attempt -> attempt.endpoint.destination.number).containsExactly(800);
     }
 
-    /** Mails stay held for a destination that leaves, and go out once it is back under another name. */
+    /** Mails stay held for a destination that is no longer listed, and are sent once it is listed again under another endpoint name. */
     @Test void mailsAreHeldForADestinationThatIsDelisted() throws IOException {
         listDestinations(50);
         directory.destination(1);
         Mail mail = admitMail(30);
         applyList(false, entry(30, 30, "DELETED"));
-        assertThat(turn(1000)).isEmpty();
+        assertThat(runIteration(1000)).isEmpty();
         assertThat(mail.finished).isFalse();
         applyList(false, entry(31_000, 30, "SERVING"));
-        assertThat(turn(1000)).extracting(c -> c.mail).containsExactly(mail);
+        assertThat(runIteration(1000)).extracting(attempt -> attempt.mail).containsExactly(mail);
     }
 
-    /** A name that comes back for another destination is another endpoint, and the old one is gone. */
+    /** A name that is listed again for another destination is another endpoint, and the old one is gone. */
     @Test void nameThatMovesIsAnotherEndpoint() throws IOException {
         listDestinations(5);
         Endpoint before = directory.endpoint("e3");
@@ -202,34 +210,34 @@
         assertThat(before.listed).isFalse();
         assertThat(directory.destination(4).endpoints).hasSize(2);
         applyList(false, new ListUpdate.Entry("e3", "nowhere", "home", "small", 4, "SERVING", 10), entry(2, 2, "DRAINING"));
-        assertThat(directory.endpoint("e2").ready).as("what stands beside a spoilt address counts").isFalse();
+        assertThat(directory.endpoint("e2").ready).as("an entry beside an invalid address counts").isFalse();
     }
 
     /**
-     * Guards mails of a long list's destination against a receiver that has become another's: also one of a destination that
-     * no mail has come for, told by a change or among all others.
+     * A mail must not go to a receiver that now belongs to another destination: also if no mail has arrived for that other destination,
+     * and whether the move is told by a delta or among all other endpoints.
      */
     @ParameterizedTest
     @CsvSource({"false, 1", "false, 100", "true, 1000"})
-    void nameThatMovesOutOfUseIsRemoved(boolean whole, int named) throws IOException {
+    void nameThatMovesOutOfUseIsRemoved(boolean whole, int entryCount) throws IOException {
         listDestinations(1000);
         admitMail(3);
         admitMail(4);
         Endpoint before = directory.endpoint("e3");
-        ListUpdate.Entry[] entries = new ListUpdate.Entry[named];
-        for (int i = 0; i < named; i++) {
+        ListUpdate.Entry[] entries = new ListUpdate.Entry[entryCount];
+        for (int i = 0; i < entryCount; i++) {
             entries[i] = entry(i + 3, i + 3, "SERVING");
         }
         entries[0] = entry(3, 700, "SERVING");
         applyList(whole, entries);
         assertThat(before.ready).isFalse();
-        assertThat(turn(1000)).extracting(c -> c.endpoint.destination.number).containsExactly(4);
+        assertThat(runIteration(1000)).extracting(attempt -> attempt.endpoint.destination.number).containsExactly(4);
         admitMail(700);
         assertThat(directory.endpoint("e3").destination.number).isEqualTo(700);
         assertThat(directory.endpoint("e4").ready).isTrue();
     }
 
-    /** A whole list takes out what it does not name, in use or not. */
+    /** A full list removes what it does not name, in use or not. */
     @Test void fullListRemovesWhatItDoesNotName() throws IOException {
         listDestinations(40);
         admitMail(30);
--- a/node/src/test/java/wrenreach/node/ReloadTest.java
+++ b/node/src/test/java/wrenreach/node/ReloadTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenreach.watch.FileWatch;
 
+/** A config file that is read again on signals, and when it changes. */
 class ReloadTest {
+    /** Microseconds for which an unusable file is read again. */
     private static final long RETRY_MICROS = 60_000;
     @TempDir Path folder;
     private final List<Integer> ports = new CopyOnWriteArrayList<>();
@@ -41,7 +43,7 @@
         assertThat(ports).containsExactly(11, 12);
     }
 
-    /** Guards a node against a file that is being written, is malformed or gone. */
+    /** A file that is being written, is malformed or missing must not change the node. */
     @Test void unusableFileChangesNothing() throws IOException {
         Path file = writeConfig("nowhere");
         Reload reload = new Reload(file, RETRY_MICROS);
@@ -54,21 +56,21 @@
         assertThat(ports).isEmpty();
     }
 
-    /** Guards a signal that comes while the file is being written: it is read again until it is whole. */
+    /** A signal may come while the file is being written: the file is read again until it is complete. */
     @Test void halfWrittenFileIsReadAgain() throws Exception {
         Path file = writeConfig("127.0.0.1:13");
-        byte[] whole = Files.readAllBytes(file);
-        Files.write(file, java.util.Arrays.copyOf(whole, 40));
+        byte[] content = Files.readAllBytes(file);
+        Files.write(file, java.util.Arrays.copyOf(content, 40));
         Reload reload = new Reload(file, 20_000_000);
         reload.setHandler(this::apply);
         Thread signal = new Thread(reload::signalled);
         signal.start();
-        Files.write(file, whole);
+        Files.write(file, content);
         signal.join(20_000);
         assertThat(ports).containsExactly(13);
     }
 
-    /** What is taken is what was read, also of a file that is replaced while it is looked at: once, and nothing is missed. */
+    /** A file that is replaced while it is being checked is applied once, as it was read, and no change is missed. */
     @Test void fileReplacedWhileItIsCheckedIsAppliedOnce() throws IOException {
         Reload reload = new Reload(writeConfig("127.0.0.1:51"), RETRY_MICROS);
         reload.setHandler(json -> {
@@ -86,7 +88,7 @@
         assertThat(ports).containsExactly(52, 53);
     }
 
-    /** Guards a node that was started with SIGHUP ignored (nohup, some supervisors): it follows the file itself. */
+    /** A node that was started with SIGHUP ignored (nohup, some supervisors) gets no signal and follows the file itself. */
     @Test void watchedFileIsAppliedOnlyWhenItChanges() throws Exception {
         Path file = writeConfig("127.0.0.1:21");
         Reload reload = new Reload(file, RETRY_MICROS);
