--- a/node/src/main/java/wrenreach/held/Entry.java
+++ b/node/src/main/java/wrenreach/held/Entry.java
@@ -8,78 +8,78 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** One record of the journal and its form on disk. */
+/** One record of the ledger and its form on disk. */
 public sealed interface Entry {
-    /** The mail that it is about. */
+    /** The id of the mail that the record is about. */
     String id();
 
-    /** Taken on; endsBy by the clock of the records, see {@link TimeBase}. */
+    /** The mail was accepted; the deadline is by the clock of the records, see {@link TimeBase}. */
     record Accepted(Submission submission, long deadline) implements Entry {
         @Override public String id() {
             return submission.id();
         }
     }
 
-    /** A connect's bytes are about to go out. */
+    /** The bytes of an attempt are about to be sent. */
     record AttemptStarted(String id, RecordedAttempt attempt) implements Entry { }
 
-    /** A connect is known not to have run. */
+    /** An attempt is known not to have been run by the receiver. */
     record NeverRan(String id, int number) implements Entry { }
 
-    /** Ended undelivered, to be told to the platform. */
+    /** The mail ended undelivered, and a notice to the platform is due. */
     record Ended(String id, Ending ending) implements Entry { }
 
-    /** From here on times are read by this clock. */
+    /** From this record on, times are measured by this clock. It is about no mail. */
     record Clock(TimeBase base) implements Entry {
         @Override public String id() {
             return "";
         }
     }
 
-    /** Nothing is owed any more. */
+    /** Nothing is outstanding for the mail any more. */
     record Completed(String id) implements Entry { }
 
-    /** The record without its length and checksum. */
+    /** The record's content: its type, the mail's id and the rest; without the length and checksum that the journal puts before it. */
     default byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            if (this instanceof Accepted t) {
-                Submission s = t.submission;
+            if (this instanceof Accepted accepted) {
+                Submission submission = accepted.submission;
                 out.writeByte(1);
-                text(out, s.id());
-                out.writeLong(t.deadline);
-                text(out, s.key());
-                text(out, s.queueClass());
-                text(out, s.tenant());
-                text(out, s.tag());
-                out.writeInt(s.destination());
-                out.writeInt(s.body().length);
-                out.write(s.body());
-            } else if (this instanceof AttemptStarted c) {
+                writeString(out, submission.id());
+                out.writeLong(accepted.deadline);
+                writeString(out, submission.key());
+                writeString(out, submission.queueClass());
+                writeString(out, submission.tenant());
+                writeString(out, submission.tag());
+                out.writeInt(submission.destination());
+                out.writeInt(submission.body().length);
+                out.write(submission.body());
+            } else if (this instanceof AttemptStarted started) {
                 out.writeByte(2);
-                text(out, c.id);
-                out.writeInt(c.attempt.number());
-                text(out, c.attempt.endpoint());
-                out.writeInt(c.attempt.zone());
-                out.writeLong(c.attempt.sentAt());
-            } else if (this instanceof NeverRan n) {
+                writeString(out, started.id);
+                out.writeInt(started.attempt.number());
+                writeString(out, started.attempt.endpoint());
+                out.writeInt(started.attempt.zone());
+                out.writeLong(started.attempt.sentAt());
+            } else if (this instanceof NeverRan neverRan) {
                 out.writeByte(3);
-                text(out, n.id);
-                out.writeInt(n.number);
-            } else if (this instanceof Ended e) {
+                writeString(out, neverRan.id);
+                out.writeInt(neverRan.number);
+            } else if (this instanceof Ended ended) {
                 out.writeByte(4);
-                text(out, e.id);
-                out.writeBoolean(e.ending.deferred());
-                out.writeLong(e.ending.retryAfterMs());
-            } else if (this instanceof Clock c) {
+                writeString(out, ended.id);
+                out.writeBoolean(ended.ending.deferred());
+                out.writeLong(ended.ending.retryAfterMs());
+            } else if (this instanceof Clock clock) {
                 out.writeByte(6);
-                text(out, id());
-                text(out, c.base.boot());
-                out.writeLong(c.base.offset());
+                writeString(out, id());
+                writeString(out, clock.base.boot());
+                out.writeLong(clock.base.offset());
             } else {
                 out.writeByte(5);
-                text(out, id());
+                writeString(out, id());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -87,34 +87,34 @@
         return bytes.toByteArray();
     }
 
-    /** Reads what encode wrote; IOException where it is no record of this form. */
+    /** Reads what {@link #encode} wrote; throws IOException if the bytes are no such record. */
     static Entry decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int type = in.readByte();
-        String id = text(in);
+        String id = readString(in);
         return switch (type) {
             case 1 -> {
-                long endsBy = in.readLong();
-                yield new Accepted(new Submission(id, text(in), text(in), text(in), text(in), in.readInt(),
-                        in.readNBytes(in.readInt())), endsBy);
+                long deadline = in.readLong();
+                yield new Accepted(new Submission(id, readString(in), readString(in), readString(in), readString(in), in.readInt(),
+                        in.readNBytes(in.readInt())), deadline);
             }
             case 2 -> new AttemptStarted(id,
-                    new RecordedAttempt(in.readInt(), text(in), in.readInt(), in.readLong(), false));
+                    new RecordedAttempt(in.readInt(), readString(in), in.readInt(), in.readLong(), false));
             case 3 -> new NeverRan(id, in.readInt());
             case 4 -> new Ended(id, new Ending(in.readBoolean(), in.readLong()));
             case 5 -> new Completed(id);
-            case 6 -> new Clock(new TimeBase(text(in), in.readLong()));
+            case 6 -> new Clock(new TimeBase(readString(in), in.readLong()));
             default -> throw new IOException("unknown type " + type);
         };
     }
 
-    private static void text(DataOutputStream out, String text) throws IOException {
+    private static void writeString(DataOutputStream out, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         out.writeShort(bytes.length);
         out.write(bytes);
     }
 
-    private static String text(DataInputStream in) throws IOException {
+    private static String readString(DataInputStream in) throws IOException {
         return new String(in.readNBytes(in.readUnsignedShort()), StandardCharsets.UTF_8);
     }
 }
--- a/node/src/main/java/wrenreach/held/HeldMail.java
+++ b/node/src/main/java/wrenreach/held/HeldMail.java
@@ -6,47 +6,51 @@
 import java.util.Locale;
 import wrenreach.state.Mail;
 
-/** A mail that the node holds, from the door to its end; times by the clock of the records, see {@link TimeBase}. */
+/**
+ * A mail that the node has in memory, from its submission until nothing is outstanding for it. Times are microseconds by the clock of the
+ * records, see {@link TimeBase}.
+ */
 public final class HeldMail {
     public final Submission submission;
+    /** End of its lifetime. */
     public final long deadline;
-    /** What the journal knows of its connects, in order. */
+    /** Its attempts as the ledger records them, in order. */
     public final List<RecordedAttempt> attempts = new ArrayList<>(2);
-    /** What the module knows it as. */
+    /** The mail as the decisions know it. */
     public Mail mail;
-    /** Whether it is in the journal, and so owed. */
+    /** Whether it is recorded in the ledger, so that an ending is due. */
     public boolean accepted;
-    /** Found at the start as taken on and never tried, and still so. */
+    /** Recovered at the start without any recorded attempt, and not attempted since. */
     public boolean untried;
-    /** Set once it has ended undelivered; it stays owed until the platform has heard. */
+    /** Set once it has ended undelivered; it stays outstanding until the platform has confirmed the notice. */
     public Ending ending;
-    /** A lost decision about it has been reported. */
+    /** Whether a lost decision about it has been reported. */
     public boolean reported;
-    /** What a compacted journal would spend on it. */
+    /** Bytes of its records in a compacted journal. */
     int journalBytes;
 
-    public HeldMail(Submission submission, long endsBy) {
+    public HeldMail(Submission submission, long deadline) {
         this.submission = submission;
-        this.deadline = endsBy;
+        this.deadline = deadline;
     }
 
-    /** Marks one of its connects as never having run; false: there is none of that number, or it was marked before. */
+    /** Marks one of its attempts as never run by the receiver. False: there is none of that number, or it was marked before. */
     public boolean markNeverRan(int number) {
         for (int i = 0; i < attempts.size(); i++) {
-            RecordedAttempt c = attempts.get(i);
-            if (c.number() == number && !c.neverRan()) {
-                attempts.set(i, new RecordedAttempt(number, c.endpoint(), c.zone(), c.sentAt(), true));
+            RecordedAttempt attempt = attempts.get(i);
+            if (attempt.number() == number && !attempt.neverRan()) {
+                attempts.set(i, new RecordedAttempt(number, attempt.endpoint(), attempt.zone(), attempt.sentAt(), true));
                 return true;
             }
         }
         return false;
     }
 
-    /** One line for who asks what is owed. */
+    /** The mail as one line of the listing of outstanding mails. */
     public String describe() {
-        String end = ending == null ? "" : ending.deferred() ? " deferred" : " undeliverable";
+        String outcome = ending == null ? "" : ending.deferred() ? " deferred" : " undeliverable";
         return String.format(Locale.ROOT, "%s class=%s dest=%d until=%s connects=%d bytes=%d%s", submission.id(),
                 submission.queueClass(), submission.destination(), Instant.ofEpochMilli(deadline / 1000), attempts.size(),
-                submission.body().length, end);
+                submission.body().length, outcome);
     }
 }
--- a/node/src/main/java/wrenreach/held/HeldMails.java
+++ b/node/src/main/java/wrenreach/held/HeldMails.java
@@ -12,7 +12,7 @@
 import wrenreach.state.Mail;
 import wrenreach.state.OrderKey;
 
-/** The mails that the node holds, by id and by what the module knows them as. */
+/** The mails that the node has in memory, by id and by the object that the decisions know them as. Owned by the node's event loop. */
 public final class HeldMails {
     private final Settings settings;
     private final List<String> queueClasses;
@@ -20,11 +20,12 @@
     private final Directory<String> directory;
     private final Map<String, HeldMail> byId = new HashMap<>();
     private final Map<Mail, HeldMail> byMail = new IdentityHashMap<>();
+    /** Order keys that are used for the first time in this process are blocked until then; 0: they are not. */
     private long keysBlockedUntil;
-    /** Recorded times are by the clock that now is; else by the wall's as it was then. */
+    /** True: recorded times are by the present clock; false: by the wall clock as it was set at the time. */
     private boolean clockContinued = true;
 
-    /** The names of queue classes and tenants stand in the order of the settings' numbers. */
+    /** The names of queue classes and tenants are in the order of their numbers in the settings. */
     public HeldMails(Settings settings, List<String> queueClasses, List<String> tenants, Directory<String> directory) {
         this.settings = settings;
         this.queueClasses = queueClasses;
@@ -32,38 +33,42 @@
         this.directory = directory;
     }
 
-    /** An earlier process was at work until before now: its last connects may have timed out or broken just then. */
+    /**
+     * An earlier process was running until shortly before now: its last attempts may have timed out or lost their connection just then, so
+     * order keys stay blocked for the settle time that follows such an end.
+     */
     public void blockRecoveredKeys(long now) {
         keysBlockedUntil = now + settings.rules().orderSettleTime();
     }
 
-    /** Recorded times are by the wall's clock of another boot: no span is taken to be longer than its class allows. */
+    /** Recorded times are by the wall clock of another boot: a recovered mail gets no longer lifetime than its queue class allows. */
     public void clockNotContinued() {
         clockContinued = false;
     }
 
-    /** What is wrong with a mail of these names, or null. */
-    public String validationError(Submission s) {
-        return !queueClasses.contains(s.queueClass()) ? "unknown class"
-                : !tenants.isEmpty() && !tenants.contains(s.tenant()) ? "unknown tenant"
-                : !directory.listed(s.destination()) ? "unknown destination" : null;
+    /** What is wrong with the names in a submission, or null. */
+    public String validationError(Submission submission) {
+        return !queueClasses.contains(submission.queueClass()) ? "unknown class"
+                : !tenants.isEmpty() && !tenants.contains(submission.tenant()) ? "unknown tenant"
+                : !directory.listed(submission.destination()) ? "unknown destination" : null;
     }
 
     public boolean contains(String id) {
         return byId.containsKey(id);
     }
 
-    /** Whether the mail of this id has been taken on. */
+    /** Whether the mail of this id is accepted and not completed. */
     public boolean isAccepted(String id) {
         HeldMail held = byId.get(id);
         return held != null && held.accepted;
     }
 
+    /** Null: the mail is not held. */
     public HeldMail get(Mail mail) {
         return byMail.get(mail);
     }
 
-    /** Accepted messages that are over for the decisions, with no attempt out, and that have no ending here. */
+    /** Accepted mails that the decisions have finished, with no attempt in flight, but that have no ending here: their decision was lost. */
     public List<HeldMail> endedByDecisionsOnly() {
         return byMail.values().stream().filter(held -> held.accepted && held.ending == null && held.mail.finished && held.mail.inFlight == 0).toList();
     }
@@ -72,41 +77,41 @@
         return byId.size();
     }
 
-    /** Holds a mail and makes what the module is to know it as. */
+    /** Adds a mail and creates the object that the decisions know it as. */
     public Mail add(HeldMail held, long now) {
         return add(held, now, held.deadline);
     }
 
-    private Mail add(HeldMail held, long now, long endsBy) {
-        Submission s = held.submission;
-        int queueClass = Math.max(0, queueClasses.indexOf(s.queueClass()));
-        OrderKey key = s.key().isEmpty() || !settings.classes().get(queueClass).ordered() ? null
-                : directory.orderKey(s.key());
+    private Mail add(HeldMail held, long now, long deadline) {
+        Submission submission = held.submission;
+        int queueClass = Math.max(0, queueClasses.indexOf(submission.queueClass()));
+        OrderKey key = submission.key().isEmpty() || !settings.classes().get(queueClass).ordered() ? null
+                : directory.orderKey(submission.key());
         if (key != null) {
-            // Guards the rest of keys across a restart: nobody remembers which of them rest.
+            // Keeps order keys blocked across a restart: nothing records which of them were blocked, so all are.
             key.blockedUntil = Math.max(key.blockedUntil, keysBlockedUntil);
         }
-        held.mail = new Mail(s.id().hashCode(), directory.destination(s.destination()), key, queueClass,
-                tenants.indexOf(s.tenant()), now, endsBy);
-        byId.put(s.id(), held);
+        held.mail = new Mail(submission.id().hashCode(), directory.destination(submission.destination()), key, queueClass,
+                tenants.indexOf(submission.tenant()), now, deadline);
+        byId.put(submission.id(), held);
         byMail.put(held.mail, held);
         return held.mail;
     }
 
-    /** The same for a mail of an earlier process, with its connects as the journal knows them. */
-    public Mail recover(HeldMail owed, long now) {
-        int queueClass = Math.max(0, queueClasses.indexOf(owed.submission.queueClass()));
-        long latest = now + settings.classes().get(queueClass).lifetime();
-        Mail mail = add(owed, now, clockContinued ? owed.deadline : Math.min(owed.deadline, latest));
+    /** Adds a mail that an earlier process accepted, with its attempts as the ledger recorded them. */
+    public Mail recover(HeldMail held, long now) {
+        int queueClass = Math.max(0, queueClasses.indexOf(held.submission.queueClass()));
+        long latestDeadline = now + settings.classes().get(queueClass).lifetime();
+        Mail mail = add(held, now, clockContinued ? held.deadline : Math.min(held.deadline, latestDeadline));
         mail.recovered = true;
-        for (RecordedAttempt past : owed.attempts) {
-            Endpoint known = directory.endpoint(past.endpoint());
-            Endpoint at = known != null ? known : new Endpoint(-1, mail.destination, settings.kinds().size(), past.zone());
-            long sentAt = Math.min(past.sentAt(), now);
-            DeliveryAttempt connect = new DeliveryAttempt(mail, at, sentAt, sentAt, new Call(sentAt));
-            connect.open = false;
-            connect.neverRan = past.neverRan();
-            mail.attempts.add(connect);
+        for (RecordedAttempt recorded : held.attempts) {
+            Endpoint known = directory.endpoint(recorded.endpoint());
+            Endpoint endpoint = known != null ? known : new Endpoint(-1, mail.destination, settings.kinds().size(), recorded.zone());
+            long sentAt = Math.min(recorded.sentAt(), now);
+            DeliveryAttempt attempt = new DeliveryAttempt(mail, endpoint, sentAt, sentAt, new Call(sentAt));
+            attempt.open = false;
+            attempt.neverRan = recorded.neverRan();
+            mail.attempts.add(attempt);
         }
         return mail;
     }
--- a/node/src/main/java/wrenreach/held/Journal.java
+++ b/node/src/main/java/wrenreach/held/Journal.java
@@ -21,22 +21,28 @@
 import wrenreach.log.LogEvent;
 
 /**
- * What the node owes, in a file that outlasts it: records of length, checksum and content, appended once a
- * turn. A tail that a killed process left half written is cut off. Old records go by writing what is still
- * owed into a new file that takes the old one's name.
+ * The ledger as an append-only file: records of length, checksum and content, appended once an iteration of the event loop. A tail
+ * that a killed process left half written is truncated. Old records are removed by compaction: the outstanding mails are written to a new
+ * file that replaces the old one. Owned by the node's event loop.
  */
 public final class Journal implements Ledger {
     private static final System.Logger LOG = System.getLogger(Journal.class.getName());
-    private static final String FILE_NAME = "journal", NEXT_FILE_NAME = "journal.next";
-    /** Where a store keeps what is owed, in the same folder. */
+    private static final String FILE_NAME = "journal";
+    /** The new file during a compaction. */
+    private static final String NEXT_FILE_NAME = "journal.next";
+    /** The subfolder in which a store keeps the outstanding mails in place of the journal. */
     public static final String STORE = "store";
+    /** Length and checksum, 4 bytes each. */
     private static final int RECORD_HEADER_BYTES = 8;
+    /** Share of the folder's limit that the file may take before it is compacted: old and compacted file exist side by side for a moment. */
+    private static final double FILE_SHARE = 0.54;
+    /** Share of the folder's limit that the records of outstanding mails may take, and so a compacted file. */
+    private static final double OUTSTANDING_SHARE = 0.4;
     /**
-     * Parts of the room: the old and the compacted file stand beside each other for a moment. The ballast has to hold the
-     * connects and ends of what is owed for the seconds in which others fill the disk: a mail in some hundred bytes, more of
-     * it the larger the folder.
+     * Share of the folder's limit that is reserved for a full disk. It has to hold the attempts and endings of the outstanding mails for the
+     * seconds in which others fill the disk: some hundred bytes a mail, and more mails the larger the folder.
      */
-    private static final double FILE_SHARE = 0.54, OUTSTANDING_SHARE = 0.4, RESERVED_SHARE = 0.01;
+    private static final double RESERVED_SHARE = 0.01;
 
     private final Path file;
     private final Path nextFile;
@@ -44,38 +50,43 @@
     private final ReservedSpace reservedSpace;
     /** Microseconds of a clock that only goes forward. */
     private LongSupplier monotonicMicros = () -> System.nanoTime() / 1000;
+    /** Bytes. */
     private final long fileLimit;
+    /** Bytes. */
     private final long outstandingLimit;
+    /** By id, in the order in which they were accepted. */
     private final Map<String, HeldMail> outstanding;
     private final boolean resumed;
-    /** What the next write records, in order. */
+    /** What the next write appends, in order. */
     private final List<PendingRecord> pending = new ArrayList<>();
     private FileChannel channel;
+    /** Bytes of the file that are whole, durable records. */
     private long size;
+    /** Bytes that the outstanding mails take in a compacted file. */
     private long outstandingBytes;
-    /** By which the records' times are; null: the wall's. */
+    /** The clock that the records' times are measured by; null: the wall clock. */
     private TimeBase timeBase;
     private boolean timeBaseUnrecorded;
-    /** What the file holds behind the records that lasted is not known: the next write makes a new file. */
+    /** It is not known what the file holds behind the durable records: the next write replaces it by a new file. */
     private boolean tailUnknown;
 
     /** An entry with the bytes of its record. */
     private record PendingRecord(Entry entry, byte[] bytes) { }
 
-    /** The bytes of the file that are whole records, and the clock that their times are by; null: the wall's. */
+    /** The bytes of the file that are whole records, and the clock that their times are measured by; null: the wall clock. */
     private record ReplayResult(long validBytes, TimeBase timeBase) { }
 
-    private Journal(Path folder, long limit, Map<String, HeldMail> owed, ReplayResult replayed) throws IOException {
+    private Journal(Path folder, long limit, Map<String, HeldMail> outstanding, ReplayResult replayed) throws IOException {
         file = folder.resolve(FILE_NAME);
         nextFile = folder.resolve(NEXT_FILE_NAME);
         listLog = new ListLog(folder, limit);
         fileLimit = (long) (limit * FILE_SHARE);
         outstandingLimit = (long) (limit * OUTSTANDING_SHARE);
-        this.outstanding = owed;
+        this.outstanding = outstanding;
         size = replayed.validBytes;
         timeBase = replayed.timeBase;
         resumed = size > 0;
-        owed.values().forEach(held -> outstandingBytes += held.journalBytes);
+        outstanding.values().forEach(held -> outstandingBytes += held.journalBytes);
         Files.deleteIfExists(nextFile);
         channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         channel.truncate(size);
@@ -83,31 +94,36 @@
         reservedSpace = new ReservedSpace(folder.resolve("ballast"), (long) (limit * RESERVED_SHARE));
     }
 
-    /** Opens the folder's journal for writing; limit: bytes that the folder may hold. */
+    /**
+     * Opens the folder's journal for writing.
+     *
+     * @param limit bytes that the folder may hold
+     * @throws IOException also if the folder holds a store
+     */
     public static Journal open(Path folder, long limit) throws IOException {
         if (Files.exists(folder.resolve(STORE))) {
-            // Guards what is owed: a node that went back to the journal would know nothing of it.
+            // A node that went back to the journal would know nothing of the mails that the store holds.
             throw new IOException(folder.resolve(STORE) + " holds what is owed: [store] has to stay on");
         }
-        Map<String, HeldMail> owed = new LinkedHashMap<>();
-        return new Journal(folder, limit, owed, replay(folder.resolve(FILE_NAME), owed));
+        Map<String, HeldMail> outstanding = new LinkedHashMap<>();
+        return new Journal(folder, limit, outstanding, replay(folder.resolve(FILE_NAME), outstanding));
     }
 
-    /** What the folder's journal owes, in the order taken on; nothing is written. */
+    /** The outstanding mails of the folder's journal, in the order they were accepted; nothing is written. */
     public static List<HeldMail> read(Path folder) throws IOException {
-        Map<String, HeldMail> owed = new LinkedHashMap<>();
-        replay(folder.resolve(FILE_NAME), owed);
-        return new ArrayList<>(owed.values());
+        Map<String, HeldMail> outstanding = new LinkedHashMap<>();
+        replay(folder.resolve(FILE_NAME), outstanding);
+        return new ArrayList<>(outstanding.values());
     }
 
     @Override public Optional<TimeBase> timeBase() {
         return Optional.ofNullable(timeBase);
     }
 
-    @Override public void startClock(TimeBase started, LongSupplier itsMicros) {
-        monotonicMicros = itsMicros;
-        timeBaseUnrecorded = !started.equals(timeBase);
-        timeBase = started;
+    @Override public void startClock(TimeBase base, LongSupplier micros) {
+        monotonicMicros = micros;
+        timeBaseUnrecorded = !base.equals(timeBase);
+        timeBase = base;
     }
 
     @Override public boolean resumed() {
@@ -118,8 +134,8 @@
         return new ArrayList<>(outstanding.values());
     }
 
-    @Override public boolean fits(int bodyBytes, int before, int tries) {
-        return reservedSpace.reserved() && outstandingBytes + (1L + before) * (bodyBytes + (1 + tries) * 128L) <= outstandingLimit;
+    @Override public boolean fits(int bodyBytes, int before, int attempts) {
+        return reservedSpace.reserved() && outstandingBytes + (1L + before) * (bodyBytes + (1 + attempts) * 128L) <= outstandingLimit;
     }
 
     @Override public void accepted(HeldMail held) {
@@ -128,11 +144,11 @@
         addPendingFor(held, new Entry.Accepted(held.submission, held.deadline));
     }
 
-    @Override public void attemptStarted(HeldMail held, RecordedAttempt connect) {
-        held.attempts.add(connect);
-        addPendingFor(held, new Entry.AttemptStarted(held.submission.id(), connect));
-        if (connect.neverRan()) {
-            addPendingFor(held, new Entry.NeverRan(held.submission.id(), connect.number()));
+    @Override public void attemptStarted(HeldMail held, RecordedAttempt attempt) {
+        held.attempts.add(attempt);
+        addPendingFor(held, new Entry.AttemptStarted(held.submission.id(), attempt));
+        if (attempt.neverRan()) {
+            addPendingFor(held, new Entry.NeverRan(held.submission.id(), attempt.number()));
         }
     }
 
@@ -163,19 +179,19 @@
         if (outstanding.remove(held.submission.id(), held)) {
             held.accepted = false;
             outstandingBytes -= held.journalBytes;
-            pending.removeIf(one -> one.entry.id().equals(held.submission.id()));
+            pending.removeIf(record -> record.entry.id().equals(held.submission.id()));
         }
     }
 
     @Override public void retractAttempt(HeldMail held, int number) {
         for (Iterator<PendingRecord> all = pending.iterator(); all.hasNext();) {
-            PendingRecord one = all.next();
-            if (one.entry instanceof Entry.AttemptStarted connecting && connecting.id().equals(held.submission.id())
-                    && connecting.attempt().number() == number) {
+            PendingRecord record = all.next();
+            if (record.entry instanceof Entry.AttemptStarted started && started.id().equals(held.submission.id())
+                    && started.attempt().number() == number) {
                 all.remove();
-                held.journalBytes -= one.bytes.length;
-                outstandingBytes -= one.bytes.length;
-                held.attempts.remove(connecting.attempt());
+                held.journalBytes -= record.bytes.length;
+                outstandingBytes -= record.bytes.length;
+                held.attempts.remove(started.attempt());
             }
         }
     }
@@ -188,13 +204,13 @@
         return size;
     }
 
-    /** Writes all records noted since the last time, at once: without a sync they last as soon as they are written. */
+    /** Writes all records since the last write, at once. There is no sync, so they count as durable as soon as they are written. */
     @Override public boolean write(Runnable then) throws IOException {
         write();
         return true;
     }
 
-    /** The same, for who has no turn. */
+    /** The same for callers that run no iteration of the event loop. */
     public void write() throws IOException {
         if (reservedSpace.restore(monotonicMicros.getAsLong())) {
             LogEvent.log(LOG, Level.WARNING, "journal.room", "the disk has room again: mails are taken on");
@@ -219,7 +235,7 @@
         channel.position(size);
     }
 
-    /** What a failed write has left in the file is cut off at once: another process would take whole records of it for promises. */
+    /** Truncates at once what a failed write has left in the file: another process would take whole records of it for accepted mails. */
     private void discardFailedWrite(IOException failure) {
         try {
             truncateTail();
@@ -231,9 +247,12 @@
     }
 
     /**
-     * Guards what is owed on a full disk: a node that can't record ends, and again at each start, until its mails are over. So
-     * room is kept for it; and a promise is worth more than a kept list, which discovery can say again. False: there is more
-     * room now than there was.
+     * Appends the pending records; on a full disk it frees space for them. A node that can't record stops, and stops again at each start, until
+     * the lifetimes of its mails have passed. So space is reserved for the records of accepted mails; and when that is used up, the
+     * stored endpoint list is discarded, as discovery can tell it again.
+     *
+     * @return false: nothing is appended, but there is more space now than before; try again
+     * @throws IOException if no more space can be freed
      */
     private boolean appendOrFreeSpace() throws IOException {
         try {
@@ -252,7 +271,7 @@
 
     private void append() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(1 << 12);
-        pending.forEach(one -> bytes.writeBytes(one.bytes));
+        pending.forEach(record -> bytes.writeBytes(record.bytes));
         if (tailUnknown || size + bytes.size() > fileLimit) {
             compact();
         } else {
@@ -260,33 +279,33 @@
         }
     }
 
-    /** What is pending is part of the state that this writes. */
+    /** Replaces the file by one of the outstanding mails alone. The pending records are part of that state, so they are not appended. */
     private void compact() throws IOException {
-        long before = size;
+        long sizeBefore = size;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) Math.max(64, outstandingBytes));
         if (timeBase != null) {
             bytes.writeBytes(encodeRecord(new Entry.Clock(timeBase)));
         }
         outstanding.values().forEach(held -> entriesOf(held).forEach(entry -> bytes.writeBytes(encodeRecord(entry))));
-        FileChannel fresh = FileChannel.open(nextFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+        FileChannel compacted = FileChannel.open(nextFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING);
-        int after;
+        int compactedSize;
         try {
-            after = write(fresh, bytes);
+            compactedSize = write(compacted, bytes);
             Files.move(nextFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            fresh.close();
+            compacted.close();
             throw e;
         }
         FileChannel replaced = channel;
-        channel = fresh;
-        size = after;
+        channel = compacted;
+        size = compactedSize;
         closeReplaced(replaced);
         LogEvent.log(LOG, Level.INFO, "journal.compacted", "journal compacted: {before} to {after} bytes, {owed} mails owed",
-                "before", before, "after", size, "owed", outstanding.size());
+                "before", sizeBefore, "after", size, "owed", outstanding.size());
     }
 
-    /** The records are in the new file by now: an error of the old one is no failure of the write. */
+    /** The records are in the new file already: an error on closing the old one is no failed write. */
     private static void closeReplaced(FileChannel replaced) {
         try {
             replaced.close();
@@ -295,13 +314,14 @@
         }
     }
 
+    /** The records of an outstanding mail in a compacted file. */
     private static List<Entry> entriesOf(HeldMail held) {
         List<Entry> entries = new ArrayList<>();
         entries.add(new Entry.Accepted(held.submission, held.deadline));
-        for (RecordedAttempt c : held.attempts) {
-            entries.add(new Entry.AttemptStarted(held.submission.id(), c));
-            if (c.neverRan()) {
-                entries.add(new Entry.NeverRan(held.submission.id(), c.number()));
+        for (RecordedAttempt attempt : held.attempts) {
+            entries.add(new Entry.AttemptStarted(held.submission.id(), attempt));
+            if (attempt.neverRan()) {
+                entries.add(new Entry.NeverRan(held.submission.id(), attempt.number()));
             }
         }
         if (held.ending != null) {
@@ -316,15 +336,16 @@
         outstandingBytes += bytes;
     }
 
+    /** Returns the bytes of the entry's record. */
     private int addPending(Entry entry) {
         if (timeBaseUnrecorded) {
-            // Not by itself: a process that records nothing leaves the folder as it was.
+            // Only together with a record: a process that records nothing leaves the folder as it was.
             timeBaseUnrecorded = false;
             addPending(new Entry.Clock(timeBase));
         }
-        PendingRecord one = new PendingRecord(entry, encodeRecord(entry));
-        pending.add(one);
-        return one.bytes.length;
+        PendingRecord record = new PendingRecord(entry, encodeRecord(entry));
+        pending.add(record);
+        return record.bytes.length;
     }
 
     private static byte[] encodeRecord(Entry entry) {
@@ -332,22 +353,22 @@
         return ByteBuffer.allocate(RECORD_HEADER_BYTES + content.length).putInt(content.length).putInt(checksum(content)).put(content).array();
     }
 
-    private static int write(FileChannel to, ByteArrayOutputStream bytes) throws IOException {
+    private static int write(FileChannel channel, ByteArrayOutputStream bytes) throws IOException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes.toByteArray());
         while (buffer.hasRemaining()) {
-            to.write(buffer);
+            channel.write(buffer);
         }
         return buffer.limit();
     }
 
-    /** Reads records until the end or the first that is not whole; the length of those that are. */
-    private static ReplayResult replay(Path file, Map<String, HeldMail> owed) throws IOException {
+    /** Reads records until the end of the file or the first that is not whole, and applies them to the outstanding mails. */
+    private static ReplayResult replay(Path file, Map<String, HeldMail> outstanding) throws IOException {
         if (!Files.exists(file)) {
             return new ReplayResult(0, null);
         }
-        TimeBase base = null;
+        TimeBase timeBase = null;
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
-        int good = 0;
+        int validBytes = 0;
         while (bytes.remaining() >= RECORD_HEADER_BYTES) {
             int length = bytes.getInt();
             int checksum = bytes.getInt();
@@ -360,33 +381,33 @@
                 break;
             }
             Entry entry = Entry.decode(content);
-            base = entry instanceof Entry.Clock clock ? clock.base() : base;
-            apply(entry, RECORD_HEADER_BYTES + length, owed);
-            good = bytes.position();
+            timeBase = entry instanceof Entry.Clock clock ? clock.base() : timeBase;
+            apply(entry, RECORD_HEADER_BYTES + length, outstanding);
+            validBytes = bytes.position();
         }
-        if (good < bytes.limit()) {
+        if (validBytes < bytes.limit()) {
             LogEvent.log(LOG, Level.WARNING, "journal.torn", "journal: cut off a torn tail of {bytes} bytes",
-                    "bytes", bytes.limit() - good);
+                    "bytes", bytes.limit() - validBytes);
         }
-        return new ReplayResult(good, base);
+        return new ReplayResult(validBytes, timeBase);
     }
 
-    private static void apply(Entry entry, int bytes, Map<String, HeldMail> owed) {
-        HeldMail held = owed.get(entry.id());
-        if (entry instanceof Entry.Accepted taken) {
-            held = new HeldMail(taken.submission(), taken.deadline());
+    private static void apply(Entry entry, int bytes, Map<String, HeldMail> outstanding) {
+        HeldMail held = outstanding.get(entry.id());
+        if (entry instanceof Entry.Accepted accepted) {
+            held = new HeldMail(accepted.submission(), accepted.deadline());
             held.accepted = true;
-            owed.put(entry.id(), held);
+            outstanding.put(entry.id(), held);
         } else if (held == null) {
             return;
-        } else if (entry instanceof Entry.AttemptStarted connecting) {
-            held.attempts.add(connecting.attempt());
+        } else if (entry instanceof Entry.AttemptStarted started) {
+            held.attempts.add(started.attempt());
         } else if (entry instanceof Entry.NeverRan neverRan) {
             held.markNeverRan(neverRan.number());
         } else if (entry instanceof Entry.Ended ended) {
             held.ending = ended.ending();
         } else {
-            owed.remove(entry.id());
+            outstanding.remove(entry.id());
         }
         held.journalBytes += bytes;
     }
--- a/node/src/main/java/wrenreach/held/TimeBase.java
+++ b/node/src/main/java/wrenreach/held/TimeBase.java
@@ -1,10 +1,11 @@
 package wrenreach.held;
 
 /**
- * The clock that the times of records are read by: the machine's monotonic time in microseconds plus an offset. It stays the same for
- * all processes of one boot of the machine, so a span between two records, or to now, is real time whatever happens to the wall clock.
+ * The clock that the times of recorded entries are measured by: the machine's monotonic time in microseconds plus an offset. It stays the same for
+ * all processes of one boot of the machine, so the time between two records, or from a record to now, is real time even if the wall clock
+ * is stepped.
  *
- * @param boot what names the boot; empty where the machine does not tell
- * @param offset chosen at the first start in the boot so that the time was the wall's just then
+ * @param boot identifies the boot; empty where the machine does not provide an identifier
+ * @param offset in microseconds; chosen at the first start within the boot so that the time equalled the wall clock at that moment
  */
 public record TimeBase(String boot, long offset) { }
--- a/node/src/test/java/wrenreach/held/HeldMailsTest.java
+++ b/node/src/test/java/wrenreach/held/HeldMailsTest.java
@@ -35,27 +35,27 @@
         held.attempts.add(new RecordedAttempt(1, "gone", 3, NOW_MICROS - 400, true));
         Mail mail = mails.recover(held, NOW_MICROS);
         assertThat(mail.deadline).isEqualTo(NOW_MICROS + 7000);
-        assertThat(mail.attempts).extracting(c -> c.sentAt).containsExactly(NOW_MICROS - 500, NOW_MICROS - 400);
-        assertThat(mail.attempts).extracting(c -> c.neverRan).containsExactly(false, true);
-        assertThat(mail.attempts).noneMatch(c -> c.open);
+        assertThat(mail.attempts).extracting(attempt -> attempt.sentAt).containsExactly(NOW_MICROS - 500, NOW_MICROS - 400);
+        assertThat(mail.attempts).extracting(attempt -> attempt.neverRan).containsExactly(false, true);
+        assertThat(mail.attempts).noneMatch(attempt -> attempt.open);
         assertThat(mail.attempts.get(0).endpoint).isSameAs(known);
         assertThat(mail.attempts.get(1).endpoint.zone).isEqualTo(3);
         assertThat(mails.get(mail)).isSameAs(held);
     }
 
-    /** Times of another boot are the wall's, which may have been stepped: no deadline lies beyond what its class allows. */
+    /** Times recorded in another boot are wall-clock times, and that clock may have been stepped: no deadline exceeds the lifetime of its class. */
     @Test void timesOfAnotherClockAreBounded() {
         HeldMail late = new HeldMail(held.submission, NOW_MICROS + 3_600_000_000L);
         late.attempts.add(new RecordedAttempt(0, "gone", 3, NOW_MICROS + 3_600_000_000L, false));
-        assertThat(mails.recover(late, NOW_MICROS).deadline).as("the same clock is believed").isEqualTo(NOW_MICROS + 3_600_000_000L);
+        assertThat(mails.recover(late, NOW_MICROS).deadline).as("times of the same clock are kept").isEqualTo(NOW_MICROS + 3_600_000_000L);
         mails.remove(late);
         mails.clockNotContinued();
         Mail mail = mails.recover(late, NOW_MICROS);
         assertThat(mail.deadline).isEqualTo(NOW_MICROS + settings.classes().get(0).lifetime());
-        assertThat(mail.attempts).extracting(c -> c.sentAt).containsExactly(NOW_MICROS);
+        assertThat(mail.attempts).extracting(attempt -> attempt.sentAt).containsExactly(NOW_MICROS);
     }
 
-    /** Guards the rest of keys: after a restart every key that comes up rests, whoever its mails were. */
+    /** Nothing records which order keys were blocked before a restart, so after one every key that is used is blocked for the settle time. */
     @Test void orderKeysAreBlockedOnlyAfterARestart() {
         assertThat(mails.add(held, NOW_MICROS).orderKey.blockedUntil).isZero();
         mails.blockRecoveredKeys(NOW_MICROS);
--- a/node/src/test/java/wrenreach/held/JournalTest.java
+++ b/node/src/test/java/wrenreach/held/JournalTest.java
@@ -32,8 +32,8 @@
         HeldMail first = mail("first", 4);
         try (Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES)) {
             assertThat(journal.resumed()).isFalse();
-            HeldMail over = mail("over", 4);
-            journal.accepted(over);
+            HeldMail completed = mail("over", 4);
+            journal.accepted(completed);
             journal.accepted(first);
             journal.accepted(mail("second", 0));
             journal.attemptStarted(first, attempt(0, false));
@@ -41,42 +41,42 @@
             journal.attemptStarted(first, attempt(2, false));
             journal.neverRan(first, 2);
             journal.ended(first, new Ending(true, 500));
-            journal.completed(over);
+            journal.completed(completed);
             journal.write();
         }
         try (Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES)) {
             assertThat(journal.resumed()).isTrue();
             assertThat(outstandingIds()).containsExactly("first", "second");
-            HeldMail back = journal.outstanding().get(0);
-            assertThat(back.submission).usingRecursiveComparison().isEqualTo(first.submission);
-            assertThat(back.deadline).isEqualTo(77);
-            assertThat(back.attempts).containsExactly(attempt(0, false), attempt(1, true), attempt(2, true));
-            assertThat(back.ending).isEqualTo(new Ending(true, 500));
-            assertThat(back.accepted).isTrue();
+            HeldMail recovered = journal.outstanding().get(0);
+            assertThat(recovered.submission).usingRecursiveComparison().isEqualTo(first.submission);
+            assertThat(recovered.deadline).isEqualTo(77);
+            assertThat(recovered.attempts).containsExactly(attempt(0, false), attempt(1, true), attempt(2, true));
+            assertThat(recovered.ending).isEqualTo(new Ending(true, 500));
+            assertThat(recovered.accepted).isTrue();
         }
     }
 
     @Test void retractedRecordsAreNotWritten() throws IOException {
-        HeldMail stays = mail("stays", 4);
+        HeldMail kept = mail("stays", 4);
         try (Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES)) {
-            journal.accepted(stays);
-            journal.attemptStarted(stays, attempt(0, false));
+            journal.accepted(kept);
+            journal.attemptStarted(kept, attempt(0, false));
             journal.write();
-            HeldMail gone = mail("gone", 4);
-            journal.accepted(gone);
-            journal.attemptStarted(gone, attempt(0, false));
-            journal.attemptStarted(stays, attempt(1, false));
-            journal.retractAttempt(stays, 1);
-            journal.retract(gone);
-            assertThat(gone.accepted).isFalse();
-            journal.attemptStarted(stays, attempt(1, true));
+            HeldMail retracted = mail("gone", 4);
+            journal.accepted(retracted);
+            journal.attemptStarted(retracted, attempt(0, false));
+            journal.attemptStarted(kept, attempt(1, false));
+            journal.retractAttempt(kept, 1);
+            journal.retract(retracted);
+            assertThat(retracted.accepted).isFalse();
+            journal.attemptStarted(kept, attempt(1, true));
             journal.write();
         }
         assertThat(outstandingIds()).containsExactly("stays");
         assertThat(Journal.read(folder).get(0).attempts).containsExactly(attempt(0, false), attempt(1, true));
     }
 
-    /** A file that can't be written or cut any more is not believed: the next write makes a new one of all that is owed. */
+    /** The content of a file that can't be written or truncated any more is unknown, so the next write creates a new one of all outstanding mails. */
     @Test void writeAfterAFailedOneRecordsEverything() throws IOException {
         HeldMail first = mail("first", 4);
         Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES);
@@ -95,7 +95,7 @@
         assertThat(Journal.read(folder).get(0).ending).isEqualTo(new Ending(false, 0));
     }
 
-    /** The clock goes with the first record, not before, and outlasts compaction. */
+    /** The clock is recorded with the first other record, not before, and compaction keeps it. */
     @Test void timeBaseIsRecordedOnceWithTheFirstRecord() throws IOException {
         TimeBase base = new TimeBase("a boot", 12);
         try (Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES)) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Guards a kill at any byte: whole records count, the torn one does not, and new ones follow them. */
+    /** A kill may cut a write at any byte: whole records count, a torn one does not, and new records are appended after the whole ones. */
     @Test void fileTruncatedAtAnyByteKeepsWholeRecords() throws IOException {
         List<Long> ends = new ArrayList<>();
         Path file = folder.resolve("journal");
@@ -131,8 +131,8 @@
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut <= whole.length; cut++) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
-            long size = cut;
-            int kept = (int) ends.stream().filter(end -> end <= size).count();
+            long cutAt = cut;
+            int kept = (int) ends.stream().filter(end -> end <= cutAt).count();
             try (Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES)) {
                 assertThat(journal.outstanding()).hasSize(kept);
                 journal.accepted(mail("next", 1));
@@ -162,10 +162,10 @@
             journal.attemptStarted(kept, attempt(0, true));
             journal.ended(kept, new Ending(false, 0));
             for (int i = 0; i < 2000; i++) {
-                HeldMail passing = mail("m" + i, 100);
-                journal.accepted(passing);
+                HeldMail completed = mail("m" + i, 100);
+                journal.accepted(completed);
                 journal.write();
-                journal.completed(passing);
+                journal.completed(completed);
             }
             HeldMail last = mail("last", 10);
             journal.accepted(last);
@@ -179,17 +179,17 @@
         assertThat(kept.ending).isEqualTo(new Ending(false, 0));
     }
 
-    /** Guards the disk: old and new file stand beside each other during a compaction. */
+    /** Old and new file exist side by side during a compaction: together they have to stay within the folder's limit. */
     @Test void noMailFitsThatLeavesNoSpaceForCompaction() throws IOException {
         try (Journal journal = Journal.open(folder, FOLDER_LIMIT_BYTES)) {
-            int taken = 0;
+            int accepted = 0;
             while (journal.fits(1000, 0, 2)) {
-                journal.accepted(mail("m" + taken++, 1000));
+                journal.accepted(mail("m" + accepted++, 1000));
                 journal.write();
-                long together = Files.size(folder.resolve("journal")) + journal.outstanding().size() * 1100L;
-                assertThat(together).isLessThan(FOLDER_LIMIT_BYTES);
+                long bothFiles = Files.size(folder.resolve("journal")) + journal.outstanding().size() * 1100L;
+                assertThat(bothFiles).isLessThan(FOLDER_LIMIT_BYTES);
             }
-            assertThat(taken).isGreaterThan(20);
+            assertThat(accepted).isGreaterThan(20);
             assertThat(journal.fits(10, 1000, 2)).isFalse();
             journal.completed(journal.outstanding().get(0));
             journal.completed(journal.outstanding().get(0));
