--- a/node/src/main/java/wrenreach/endpoints/EndpointTable.java
+++ b/node/src/main/java/wrenreach/endpoints/EndpointTable.java
@@ -12,27 +12,37 @@
 import java.util.function.IntPredicate;
 
 /**
- * The list of endpoints in packed form: rows in chunks of flat arrays, found by name and by destination. What a list tells
- * is staged entry by entry and takes effect at one stroke, whole or not at all: each row has a status that holds and one
- * that is to hold, and {@link #commit} swaps the two. A whole list costs room only for what differs from the one in force.
+ * The endpoint list in compact form: rows in chunks of flat arrays, found by name and by destination. A list is staged entry by entry and
+ * takes effect atomically, whole or not at all: each row has a status in force and a staged one, and {@link #commit} swaps the two. A
+ * snapshot takes memory only for what differs from the list in force.
  *
- * <p>Costs some 56 bytes an endpoint and its name; bounded in bytes by what it is made with. Owned by one thread.
+ * <p>An endpoint takes some 56 bytes and its name; the total is bounded by the limit in bytes that the table is created with. Owned by one
+ * thread.
  */
 public final class EndpointTable {
     /** No row. */
     public static final int NONE = -1;
-    /** A row's status: it is free or not in the list, serves, drains. */
-    public static final byte ABSENT = 0, SERVING = 1, DRAINING = 2;
-
-    private static final int CHUNK_SHIFT = 10, CHUNK_ROWS = 1 << CHUNK_SHIFT, CHUNK_MASK = CHUNK_ROWS - 1;
-    /** Parts of each index, so that one grows in a fraction of a millisecond; a power of two. */
+    /** Status of a row that is free or not in the list. */
+    public static final byte ABSENT = 0;
+    /** Status of a row whose endpoint serves. */
+    public static final byte SERVING = 1;
+    /** Status of a row whose endpoint drains. */
+    public static final byte DRAINING = 2;
+
+    /** A row's number shifted right by this is the number of its chunk. */
+    private static final int CHUNK_SHIFT = 10;
+    /** Rows of a chunk. */
+    private static final int CHUNK_ROWS = 1 << CHUNK_SHIFT;
+    /** Mask of a row's place within its chunk. */
+    private static final int CHUNK_MASK = CHUNK_ROWS - 1;
+    /** Parts that each index is divided into, so that growing one takes a fraction of a millisecond; a power of two. */
     private static final int INDEX_PARTS = 64;
-    /** Bytes of a row beside its name: its columns, and its part of the buckets of both indices. */
+    /** Bytes of a row without its name: its columns and its share of the buckets of both indexes. */
     private static final int ROW_BYTES = 56;
-    /** Zones and types that differ; more are a fault of the list. */
+    /** Different zones and types together; more of them are an error of the list. */
     private static final int MAX_ZONES_AND_TYPES = 4096;
 
-    /** The list can't be held; the message names the figure. */
+    /** The list does not fit; the message names the limit. */
     public static final class TooLarge extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -41,20 +51,26 @@
         }
     }
 
-    /** So many rows, column by column, and their names, one behind the other. */
+    /** {@link #CHUNK_ROWS} rows, column by column, and their names, one after the other. */
     private static final class Chunk {
+        /** The number of the endpoint's destination. */
         final int[] group = new int[CHUNK_ROWS];
+        /** The next row in the chain of the name's bucket. */
         final int[] nextByName = new int[CHUNK_ROWS];
+        /** The next row in the chain of the destination's bucket. */
         final int[] nextByGroup = new int[CHUNK_ROWS];
         final double[] weight = new double[CHUNK_ROWS];
         final short[] zone = new short[CHUNK_ROWS];
         final short[] type = new short[CHUNK_ROWS];
+        /** Two views, one of which is in force. */
         final byte[][] status = {new byte[CHUNK_ROWS], new byte[CHUNK_ROWS]};
+        /** Whether the row is used and in the indexes. */
         final boolean[] linked = new boolean[CHUNK_ROWS];
-        /** Packed, or the length of its text, negative, which follows the name. */
+        /** The packed address, or -1 minus the length of its text, which follows the name. */
         final long[] address = new long[CHUNK_ROWS];
         final int[] textOffset = new int[CHUNK_ROWS];
         final short[] nameLength = new short[CHUNK_ROWS];
+        /** Names and unpacked addresses; those of freed rows stay until the next compaction. */
         byte[] text = new byte[0];
         private int usedBytes;
         private int erasedBytes;
@@ -63,8 +79,9 @@
             return nameLength[place] + (int) Math.max(0, -1 - address[place]);
         }
 
-        int appendText(byte[] name, byte[] behind) {
-            int needed = name.length + behind.length;
+        /** Appends a name and the text of its address; returns where they begin. */
+        int appendText(byte[] name, byte[] address) {
+            int needed = name.length + address.length;
             if (usedBytes + needed > text.length) {
                 if (erasedBytes > usedBytes / 2) {
                     compact();
@@ -72,7 +89,7 @@
                 text = Arrays.copyOf(text, Math.max(usedBytes + needed, Math.min(usedBytes + usedBytes / 8 + 256, usedBytes + needed + 4096)));
             }
             System.arraycopy(name, 0, text, usedBytes, name.length);
-            System.arraycopy(behind, 0, text, usedBytes + name.length, behind.length);
+            System.arraycopy(address, 0, text, usedBytes + name.length, address.length);
             usedBytes += needed;
             return usedBytes - needed;
         }
@@ -84,18 +101,18 @@
         }
 
         private void compact() {
-            byte[] kept = new byte[usedBytes - erasedBytes];
-            int at = 0;
+            byte[] compacted = new byte[usedBytes - erasedBytes];
+            int offset = 0;
             for (int place = 0; place < CHUNK_ROWS; place++) {
                 if (linked[place]) {
                     int length = textLength(place);
-                    System.arraycopy(text, textOffset[place], kept, at, length);
-                    textOffset[place] = at;
-                    at += length;
+                    System.arraycopy(text, textOffset[place], compacted, offset, length);
+                    textOffset[place] = offset;
+                    offset += length;
                 }
             }
-            text = kept;
-            usedBytes = at;
+            text = compacted;
+            usedBytes = offset;
             erasedBytes = 0;
         }
     }
@@ -119,64 +136,74 @@
             return chunk.nextByGroup;
         }
     };
-    /** Zones and types as lists word them. */
+    /** Zones and types as they stand in lists; a row holds the position. */
     private final List<String> zonesAndTypes = new ArrayList<>();
+    /** Positions in {@link #zonesAndTypes}. */
     private final Map<String, Integer> zoneAndTypeNumbers = new HashMap<>();
     private final IntList freeRows = new IntList();
     private final long maxBytes;
     private final String limitSource;
     private int rows;
     private long textBytes;
-    /** Which of the two statuses holds. */
+    /** Which of the two views of the statuses is in force. */
     private int currentView;
     private int size;
     private int stagedSize;
     private long index = -1;
-    /** Rows that the staged list names or takes out, in its order; a row may stand there twice. */
+    /** Rows that the staged or last list names or removes, in its order; a row may be in it twice. */
     private final IntList changedRows = new IntList();
-    /** Rows whose address or weight the staged list changes, and to what. */
+    /** Rows whose address or weight the staged list changes; {@link #amendments} has two values for each: packed address and weight. */
     private final IntList amendedRows = new IntList();
     private long[] amendments = new long[0];
+    /** Rows that the staged or last list names. */
     private final BitSet namedRows = new BitSet();
+    /** How many of the changed rows have been reclaimed. */
     private int reclaimedCount;
+    /** A list has begun and is not committed. */
     private boolean staging;
     private int implicitRemovalsFrom;
+    /** Counts lists, so that a sink finds out that another list has begun since its own. */
     private long listsBegun;
 
-    /** limit: the most bytes that it may take; limitFrom: where that figure comes from, for whoever has to raise it. */
-    public EndpointTable(long limit, String limitFrom) {
-        this.maxBytes = limit;
-        this.limitSource = limitFrom;
+    /**
+     * An empty table.
+     *
+     * @param maxBytes the most bytes that its rows may take
+     * @param limitSource where that limit comes from, for the one who has to raise it
+     */
+    public EndpointTable(long maxBytes, String limitSource) {
+        this.maxBytes = maxBytes;
+        this.limitSource = limitSource;
     }
 
-    /** Endpoints in force. */
+    /** The number of endpoints in force. */
     public int size() {
         return size;
     }
 
-    /** The version in force; -1: none has been taken. */
+    /** The version in force; -1: no list has been applied. */
     public long index() {
         return index;
     }
 
-    /** Bytes that its rows take, worked out: those in force and those staged. */
+    /** Bytes that its rows take, as calculated: those in force and those staged. */
     public long bytes() {
         return (long) (rows - freeRows.size()) * ROW_BYTES + textBytes;
     }
 
     // ---- Staging ----
 
-    /** Takes a line at once, whole or not at all. */
-    public void apply(ListUpdate line) throws IOException {
+    /** Applies a list at once, whole or not at all. */
+    public void apply(ListUpdate update) throws IOException {
         ListSink sink = sink();
         sink.begin();
-        for (ListUpdate.Entry entry : line.entries()) {
+        for (ListUpdate.Entry entry : update.entries()) {
             sink.entry(entry);
         }
-        sink.end(line.index(), line.whole());
+        sink.end(update.index(), update.whole());
     }
 
-    /** All that is in force, as one line. */
+    /** The list in force as one update. */
     public ListUpdate snapshot() {
         List<ListUpdate.Entry> entries = new ArrayList<>(size);
         for (int row = 0; row < rows; row++) {
@@ -187,7 +214,7 @@
         return new ListUpdate(Math.max(0, index), true, entries);
     }
 
-    /** What the last list named or took out, as one line. */
+    /** What the last list named or removed, as one update. */
     public ListUpdate delta() {
         List<ListUpdate.Entry> entries = new ArrayList<>(changedRows.size());
         for (int i = 0; i < changedRows.size(); i++) {
@@ -196,24 +223,25 @@
         return new ListUpdate(index, false, entries);
     }
 
-    /** Another one with nothing in it, of the same bound. */
+    /** An empty table with the same limit. */
     public EndpointTable newEmpty() {
         return new EndpointTable(maxBytes, limitSource);
     }
 
-    /** Stages one list as it is read, and puts it in force at its end. */
+    /** A sink that stages a list as it is read and puts it in force at its end. */
     public ListSink sink() {
         return sink(entry -> { });
     }
 
-    /** The same; changes: hears of each entry that differs from what is in force. */
+    /** The same; changes is given each entry that differs from the list in force. */
     public ListSink sink(Consumer<ListUpdate.Entry> changes) {
         return new ListSink() {
-            private long mine;
+            /** Number of the list that this sink has begun. */
+            private long listNumber;
 
             @Override public void begin() {
                 EndpointTable.this.begin();
-                mine = listsBegun;
+                listNumber = listsBegun;
             }
 
             @Override public void entry(ListUpdate.Entry entry) throws IOException {
@@ -223,21 +251,21 @@
                 }
             }
 
-            @Override public void end(long version, boolean whole) throws IOException {
+            @Override public void end(long index, boolean whole) throws IOException {
                 check();
-                commit(version, whole);
+                commit(index, whole);
             }
 
-            /** Guards against a mixture of two lists that come at the same time. */
+            /** Prevents a mixture of two lists that are read at the same time: the one that began first fails. */
             private void check() throws IOException {
-                if (mine != listsBegun) {
+                if (listNumber != listsBegun) {
                     throw new IOException("another list began before it had ended");
                 }
             }
         };
     }
 
-    /** Begins a list; what was staged and not put in force is given up. */
+    /** Begins a list; what was staged and not committed is abandoned. */
     public void begin() {
         listsBegun++;
         staging = false;
@@ -251,46 +279,46 @@
         stagedSize = size;
     }
 
-    /** Stages an entry of the list that was begun; false: it is in force as it is. */
+    /** Stages an entry of the list that was begun. False: it does not differ from the list in force. */
     public boolean stage(ListUpdate.Entry entry) throws TooLarge {
         if (changedRows.size() > 2 * (maxBytes / ROW_BYTES)) {
             throw tooLarge("a list that names and takes out more than " + changedRows.size() + " endpoints");
         }
         byte[] name = entry.name().getBytes(StandardCharsets.UTF_8);
-        int next = 1 - currentView;
-        int row = find(name, next);
+        int stagedView = 1 - currentView;
+        int row = find(name, stagedView);
         byte status = entry.status().equals("DELETED") ? ABSENT : entry.status().equals("DRAINING") ? DRAINING : SERVING;
         long address = packAddress(entry.address());
         if (row != NONE && (status == ABSENT || !canRepresent(row, entry, address))) {
-            setStatus(row, next, ABSENT);
+            setStatus(row, stagedView, ABSENT);
             stagedSize--;
             changedRows.add(row);
             row = NONE;
         }
-        boolean changes = true;
+        boolean differs = true;
         if (status == ABSENT) {
-            return changes;
+            return differs;
         }
         if (row == NONE) {
             row = addRow(name, entry, address);
             stagedSize++;
         } else {
-            boolean amends = stageAmendment(row, address, entry.weight());
-            changes = amends || chunkOf(row).status[next][row & CHUNK_MASK] != status || namedRows.get(row);
+            boolean amended = stageAmendment(row, address, entry.weight());
+            differs = amended || chunkOf(row).status[stagedView][row & CHUNK_MASK] != status || namedRows.get(row);
         }
-        setStatus(row, next, status);
+        setStatus(row, stagedView, status);
         namedRows.set(row);
         changedRows.add(row);
-        return changes;
+        return differs;
     }
 
-    /** Puts the staged list in force: all at once. whole: what it does not name is out of the list. */
+    /** Puts the staged list in force, all at once. whole: endpoints that it does not name are removed. */
     public void commit(long version, boolean whole) {
-        int next = 1 - currentView;
+        int stagedView = 1 - currentView;
         implicitRemovalsFrom = changedRows.size();
         for (int row = namedRows.nextClearBit(0); whole && row < rows; row = namedRows.nextClearBit(row + 1)) {
-            if (chunkOf(row).status[next][row & CHUNK_MASK] != ABSENT) {
-                setStatus(row, next, ABSENT);
+            if (chunkOf(row).status[stagedView][row & CHUNK_MASK] != ABSENT) {
+                setStatus(row, stagedView, ABSENT);
                 stagedSize--;
                 changedRows.add(row);
             }
@@ -302,37 +330,37 @@
         }
         amendedRows.clear();
         staging = false;
-        currentView = next;
+        currentView = stagedView;
         size = stagedSize;
         index = version;
     }
 
-    /** How many rows the last list named or took out; they can be read until they are settled. */
+    /** How many rows the last list named or removed; they can be read until they are reclaimed. */
     public int changedRows() {
         return changedRows.size();
     }
 
-    /** One of them, in the list's order. */
+    /** The row at this position among them, in the list's order. */
     public int changedRows(int i) {
         return changedRows.get(i);
     }
 
-    /** From where on they are those that the last list, a whole one, took out by not naming them. */
+    /** The position among the changed rows from which on they are those that the last list, a snapshot, removed by not naming them. */
     public int implicitRemovalsFrom() {
         return implicitRemovalsFrom;
     }
 
     /**
-     * Gives room back that the last list has left: so many rows at most. True: all is done. {@link #begin} does what is left, of a
-     * list that was given up too: what is staged has room until then.
+     * Frees the rows that the last list removed: at most so many changed rows a call. True: there is nothing left to do. {@link #begin} does the
+     * rest, also for an abandoned list: what was staged for it takes memory until then.
      */
-    public boolean reclaim(int most) {
+    public boolean reclaim(int maxRows) {
         if (staging) {
-            // Guards drains: its pieces come with other work of the loop between them.
+            // The entries of a list come with other work of the event loop between them: reclaiming now would overwrite staged statuses, drains among them.
             return true;
         }
-        int until = (int) Math.min(changedRows.size(), (long) reclaimedCount + most);
-        for (; reclaimedCount < until; reclaimedCount++) {
+        int end = (int) Math.min(changedRows.size(), (long) reclaimedCount + maxRows);
+        for (; reclaimedCount < end; reclaimedCount++) {
             int row = changedRows.get(reclaimedCount);
             Chunk chunk = chunkOf(row);
             int place = row & CHUNK_MASK;
@@ -351,20 +379,20 @@
         return find(name.getBytes(StandardCharsets.UTF_8), currentView);
     }
 
-    /** The rows in force of a destination, by their numbers. */
+    /** The rows in force of a destination, sorted. */
     public int[] rowsOf(int group) {
         return rowsOf(group, row -> status(row) != ABSENT);
     }
 
-    /** The rows of a destination that the last list named or took out, by their numbers; until they are settled. */
+    /** The rows of a destination that the last list named or removed, sorted; to be called before they are reclaimed. */
     public int[] changedRowsOf(int group) {
         return rowsOf(group, row -> status(row) == ABSENT ? chunkOf(row).status[1 - currentView][row & CHUNK_MASK] != ABSENT : namedRows.get(row));
     }
 
-    private int[] rowsOf(int group, IntPredicate which) {
+    private int[] rowsOf(int group, IntPredicate condition) {
         IntList found = new IntList();
-        for (int row = byGroup.first(group); row != NONE; row = chunkOf(row).nextByGroup[row & CHUNK_MASK]) {
-            if (chunkOf(row).group[row & CHUNK_MASK] == group && which.test(row)) {
+        for (int row = byGroup.firstRow(group); row != NONE; row = chunkOf(row).nextByGroup[row & CHUNK_MASK]) {
+            if (chunkOf(row).group[row & CHUNK_MASK] == group && condition.test(row)) {
                 found.add(row);
             }
         }
@@ -373,16 +401,17 @@
         return sorted;
     }
 
-    /** Rows are numbered from 0 to below this; some of them are free. */
+    /** Rows are numbered from 0 up to, but not including, this; some of them are free. */
     public int rows() {
         return rows;
     }
 
-    /** What holds for the row: ABSENT, SERVING, DRAINING. */
+    /** The row's status in force: ABSENT, SERVING or DRAINING. */
     public byte status(int row) {
         return chunkOf(row).status[currentView][row & CHUNK_MASK];
     }
 
+    /** The number of the row's destination. */
     public int group(int row) {
         return chunkOf(row).group[row & CHUNK_MASK];
     }
@@ -393,7 +422,7 @@
         return new String(chunk.text, chunk.textOffset[place], chunk.nameLength[place], StandardCharsets.UTF_8);
     }
 
-    /** The row as discovery words it; out of the list: DELETED. */
+    /** The row as an entry in discovery's terms; its status is DELETED if it is not in the list. */
     public ListUpdate.Entry entry(int row) {
         Chunk chunk = chunkOf(row);
         int place = row & CHUNK_MASK;
@@ -416,7 +445,7 @@
         chunkOf(row).status[view][row & CHUNK_MASK] = status;
     }
 
-    /** Whether the row can stand for the entry: all but status, packed address and weight is as it was. */
+    /** Whether the row can represent the entry: nothing but status, packed address and weight differs. */
     private boolean canRepresent(int row, ListUpdate.Entry entry, long address) {
         Chunk chunk = chunkOf(row);
         int place = row & CHUNK_MASK;
@@ -425,12 +454,13 @@
                 && (address >= 0 && chunk.address[place] >= 0 || address(row).equals(entry.address()));
     }
 
+    /** Stages the entry's address and weight for its row; true: they differ from those in force. */
     private boolean stageAmendment(int row, long address, double weight) {
         Chunk chunk = chunkOf(row);
         int place = row & CHUNK_MASK;
         long packed = chunk.address[place] >= 0 ? address : chunk.address[place];
         boolean differs = chunk.address[place] != packed || chunk.weight[place] != weight;
-        // Named before by this list: what it said then no longer counts.
+        // A row that this list named before is staged even if nothing differs: an earlier amendment must not count any more.
         if (differs || namedRows.get(row) && amendedRows.size() > 0) {
             if (2 * amendedRows.size() == amendments.length) {
                 amendments = Arrays.copyOf(amendments, Math.max(16, 3 * amendments.length));
@@ -451,12 +481,12 @@
     }
 
     private int find(byte[] name, int view) {
-        for (int row = byName.first(hash(name, 0, name.length)); row != NONE; row = chunkOf(row).nextByName[row & CHUNK_MASK]) {
+        for (int row = byName.firstRow(hash(name, 0, name.length)); row != NONE; row = chunkOf(row).nextByName[row & CHUNK_MASK]) {
             Chunk chunk = chunkOf(row);
             int place = row & CHUNK_MASK;
-            int from = chunk.textOffset[place];
+            int nameOffset = chunk.textOffset[place];
             if (chunk.status[view][place] != ABSENT
-                    && Arrays.equals(chunk.text, from, from + chunk.nameLength[place], name, 0, name.length)) {
+                    && Arrays.equals(chunk.text, nameOffset, nameOffset + chunk.nameLength[place], name, 0, name.length)) {
                 return row;
             }
         }
@@ -504,24 +534,24 @@
         freeRows.add(row);
     }
 
-    private TooLarge tooLarge(String what) {
-        return new TooLarge(what + " needs more than the " + maxBytes + " bytes that a list may take here (" + limitSource + ")");
+    private TooLarge tooLarge(String content) {
+        return new TooLarge(content + " needs more than the " + maxBytes + " bytes that a list may take here (" + limitSource + ")");
     }
 
-    private short numberOf(String word) throws TooLarge {
-        Integer known = zoneAndTypeNumbers.get(word);
+    private short numberOf(String zoneOrType) throws TooLarge {
+        Integer known = zoneAndTypeNumbers.get(zoneOrType);
         if (known == null) {
             if (zonesAndTypes.size() >= MAX_ZONES_AND_TYPES) {
                 throw new TooLarge("a list of more than " + MAX_ZONES_AND_TYPES + " different zones and types");
             }
             known = zonesAndTypes.size();
-            zonesAndTypes.add(word);
-            zoneAndTypeNumbers.put(word, known);
+            zonesAndTypes.add(zoneOrType);
+            zoneAndTypeNumbers.put(zoneOrType, known);
         }
         return known.shortValue();
     }
 
-    // ---- Indices ----
+    // ---- Indexes ----
 
     private static int hash(byte[] text, int from, int length) {
         int hash = 0;
@@ -532,37 +562,41 @@
     }
 
     /**
-     * Rows by a key of theirs: buckets that hold a first row, and from there chains through the rows. Chains that stand in
-     * the rows anyway make it half as large as a map of keys to rows.
+     * A hash index of the rows by one of their columns: a bucket holds its first row, and the rows are chained from there. As the chains are
+     * columns of the rows, the index is half as large as a map of keys to rows.
      */
     private abstract class RowIndex {
-        private final int[][] first = new int[INDEX_PARTS][];
+        /** First row of each bucket, by part; null: the part is empty. */
+        private final int[][] firstRows = new int[INDEX_PARTS][];
+        /** How many rows each part has; its buckets are doubled when they are as many. */
         private final int[] linkedRows = new int[INDEX_PARTS];
 
+        /** The row's key. */
         abstract int key(Chunk chunk, int place);
 
+        /** The column of the chunk that chains the rows of a bucket. */
         abstract int[] next(Chunk chunk);
 
-        /** The first row of the key's bucket; others may stand there too. */
-        final int first(int key) {
+        /** The first row of the key's bucket, which may hold rows of other keys too. */
+        final int firstRow(int key) {
             int hash = mix(key);
-            int[] buckets = first[hash & INDEX_PARTS - 1];
+            int[] buckets = firstRows[hash & INDEX_PARTS - 1];
             return buckets == null ? NONE : buckets[hash >>> 6 & buckets.length - 1];
         }
 
         final void link(int row) {
             int hash = hashOf(row);
             int part = hash & INDEX_PARTS - 1;
-            if (first[part] == null || linkedRows[part] == first[part].length) {
+            if (firstRows[part] == null || linkedRows[part] == firstRows[part].length) {
                 grow(part);
             }
             linkedRows[part]++;
-            insert(first[part], row);
+            insert(firstRows[part], row);
         }
 
         final void unlink(int row) {
             int hash = hashOf(row);
-            int[] buckets = first[hash & INDEX_PARTS - 1];
+            int[] buckets = firstRows[hash & INDEX_PARTS - 1];
             int bucket = hash >>> 6 & buckets.length - 1;
             int after = next(chunkOf(row))[row & CHUNK_MASK];
             linkedRows[hash & INDEX_PARTS - 1]--;
@@ -593,21 +627,21 @@
         }
 
         private void grow(int part) {
-            int[] before = first[part];
-            int[] buckets = new int[before == null ? 8 : 2 * before.length];
+            int[] oldBuckets = firstRows[part];
+            int[] buckets = new int[oldBuckets == null ? 8 : 2 * oldBuckets.length];
             Arrays.fill(buckets, NONE);
-            for (int i = 0; before != null && i < before.length; i++) {
-                for (int row = before[i]; row != NONE;) {
+            for (int i = 0; oldBuckets != null && i < oldBuckets.length; i++) {
+                for (int row = oldBuckets[i]; row != NONE;) {
                     int after = next(chunkOf(row))[row & CHUNK_MASK];
                     insert(buckets, row);
                     row = after;
                 }
             }
-            first[part] = buckets;
+            firstRows[part] = buckets;
         }
     }
 
-    /** Numbers in a row. */
+    /** A growing list of ints. */
     private static final class IntList {
         int[] values = new int[0];
         int count;
@@ -620,26 +654,27 @@
             return values[i];
         }
 
-        void add(int number) {
+        void add(int value) {
             if (count == values.length) {
                 values = Arrays.copyOf(values, Math.max(16, count + count / 2));
             }
-            values[count++] = number;
+            values[count++] = value;
         }
 
         int removeLast() {
             return values[--count];
         }
 
-        /** Room for many is given back. */
+        /** Empties the list; a large array is released. */
         void clear() {
             count = 0;
             values = values.length > CHUNK_ROWS ? new int[0] : values;
         }
     }
 
-    // ---- Addresses: four numbers below 256 and a port, written as usual, take no text ----
+    // ---- Addresses: an IPv4 address and a port in canonical form are packed into a long and take no text ----
 
+    /** The packed address, or -1 if the text is none that can be packed and unpacked to the same text. */
     private static long packAddress(String address) {
         long packed = 0;
         int number = -1;
--- a/node/src/main/java/wrenreach/endpoints/ForwardingListSink.java
+++ b/node/src/main/java/wrenreach/endpoints/ForwardingListSink.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** Hands a list on to another sink. */
+/** Forwards a list to another sink; subclasses intercept parts of it. */
 public class ForwardingListSink implements ListSink {
     private final ListSink target;
 
-    public ForwardingListSink(ListSink to) {
-        this.target = to;
+    public ForwardingListSink(ListSink target) {
+        this.target = target;
     }
 
     @Override public void begin() {
--- a/node/src/main/java/wrenreach/endpoints/ListLog.java
+++ b/node/src/main/java/wrenreach/endpoints/ListLog.java
@@ -22,48 +22,60 @@
 import wrenreach.log.LogEvent;
 
 /**
- * The list of endpoints as it was last heard, in the state folder, so that a later process does not fall behind what this one
- * was told: a snapshot and the changes since, appended as they are told. It counts up to its last sound commit, so each list
- * is there whole or not at all, wherever a kill cuts it. Once it has doubled, a new snapshot is written in slices beside it.
- * The form stands in docs/files.md; the form before (one object in the file {@code list}) is read.
+ * The endpoint list as discovery told it last, stored in the state folder so that a later process does not fall behind what this one
+ * knew: a snapshot and the deltas since, appended as they are told. The file is valid up to its last intact commit, so each list
+ * is stored whole or not at all, wherever a kill cuts the file. Once the file has doubled, a new snapshot is written beside it, in slices.
+ * The format is described in docs/files.md; the previous format (one object in the file {@code list}) can be read. Owned by the node's
+ * event loop. An error on writing never reaches the node: it goes on without a stored list.
  */
 public final class ListLog implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(ListLog.class.getName());
-    static final String FILE_NAME = "list.log", NEXT_FILE_NAME = "list.log.next", FORM_1_FILE_NAME = "list";
+    static final String FILE_NAME = "list.log";
+    /** A new snapshot that is not complete yet. */
+    static final String NEXT_FILE_NAME = "list.log.next";
+    /** The file of the previous format. */
+    static final String FORM_1_FILE_NAME = "list";
+    /** First line of the file; names the format. */
     private static final String HEADER = "wrenreach list 2\n";
-    /** One part in so many of the folder's room, for the file and for the one that takes its place. */
+    /** The file may take the folder's limit divided by this, and so may the file that replaces it. */
     private static final int SIZE_LIMIT_DIVISOR = 50;
-    /** Rows of a snapshot written at once, about a millisecond's work; bytes gathered before they are written. */
-    static final int SLICE_ROWS = 1000, BUFFER_BYTES = 1 << 14;
+    /** Rows of a snapshot written at once: about a millisecond of work. */
+    static final int SLICE_ROWS = 1000;
+    /** Bytes that are buffered before they are written. */
+    static final int BUFFER_BYTES = 1 << 14;
     /** A file shorter than this is not worth a new snapshot. */
     private static final int MIN_REWRITE_BYTES = 1 << 12;
+    /** The file holds a status as its position in this list. */
     private static final List<String> STATUSES = List.of("SERVING", "DRAINING", "DELETED");
 
-    /** The version that is kept, and the address of the discovery that it is one of. */
+    /** The version of the stored list, and the address of the discovery service that it comes from. */
     public record StoredVersion(long index, String discoveryAddress) { }
 
     private final Path folder;
     private final Path file;
     private final Path nextFile;
     private final long maxBytes;
-    /** What goes to the file: null: it holds nothing that changes could be added to. */
+    /** Appends to the file; null: there is no file to which a delta could be appended. */
     private LogWriter logWriter;
-    /** A snapshot under way, and its next row. */
+    /** Writes the new snapshot; null: none is being written. */
     private LogWriter snapshotWriter;
+    /** The next row that the snapshot writes. */
     private int snapshotRow;
-    /** Rows that it has passed and that have changed since. */
+    /** Rows that the snapshot has passed and that have changed since: they are to be written again. */
     private final BitSet staleRows = new BitSet();
-    /** It has all rows, as far as they are in force. */
+    /** The snapshot has all rows that are in force. */
     private boolean snapshotComplete;
-    /** A list is on its way. */
+    /** A list is being read: it has begun and is not committed. */
     private boolean listInProgress;
-    /** Bytes of the last snapshot. */
+    /** Bytes of the file when its snapshot was complete, or when it was opened. */
     private long snapshotBytes;
     private StoredVersion storedVersion;
+    /** Bytes of the file up to its last intact commit, as {@link #inspect} found them. */
     private long validBytes;
+    /** A failure to store the list is logged once only. */
     private boolean warningLogged;
 
-    /** limit: bytes that the folder may hold. */
+    /** Opens nothing yet; limit: bytes that the folder may hold. */
     public ListLog(Path folder, long limit) {
         this.folder = folder;
         file = folder.resolve(FILE_NAME);
@@ -71,14 +83,14 @@
         maxBytes = limit / SIZE_LIMIT_DIVISOR;
     }
 
-    /** What of the folder's room it may take. */
+    /** How many bytes of the folder's limit the log may take, the file that replaces it included. */
     public static long sizeLimit(long limit) {
         return 2 * (limit / SIZE_LIMIT_DIVISOR);
     }
 
     // ---- Reading, at the start ----
 
-    /** What is kept, or null; IOException says what is wrong with it. */
+    /** The version of the stored list, or null if there is none. Throws IOException if what is stored can't be read; the message says why. */
     public StoredVersion inspect() throws IOException {
         storedVersion = null;
         validBytes = 0;
@@ -94,7 +106,7 @@
         return storedVersion;
     }
 
-    /** Tells what {@link #look} has found, list by list. */
+    /** Replays what {@link #inspect} found to the sink, list by list, and opens the file for appending. */
     public void replayTo(ListSink sink) throws IOException {
         if (validBytes > 0) {
             try (InputStream in = open(file)) {
@@ -107,6 +119,7 @@
         }
     }
 
+    /** Null: there is no such file. */
     private static InputStream open(Path path) throws IOException {
         try {
             return new BufferedInputStream(Files.newInputStream(path), BUFFER_BYTES);
@@ -115,55 +128,56 @@
         }
     }
 
-    /** Reads up to there; without a sink it only looks for the last sound commit. */
-    private void readLines(InputStream in, long until, ListSink sink) throws IOException {
-        String head = new String(in.readNBytes(HEADER.length()), StandardCharsets.UTF_8);
-        if (!head.equals(HEADER)) {
+    /** Reads lines up to the file offset end, and no further than the first damaged commit; without a sink it only looks for the last intact commit. */
+    private void readLines(InputStream in, long end, ListSink sink) throws IOException {
+        String header = new String(in.readNBytes(HEADER.length()), StandardCharsets.UTF_8);
+        if (!header.equals(HEADER)) {
             throw new IOException("it does not begin with \"" + HEADER.strip() + "\"");
         }
         CRC32 crc = new CRC32();
         byte[] buffer = new byte[1 << 16];
-        long before = HEADER.length();
+        long bufferOffset = HEADER.length();
         boolean begun = false;
         boolean whole = true;
-        int have = 0;
-        for (int read = in.read(buffer); read > 0; read = in.read(buffer, have, buffer.length - have)) {
-            have += read;
-            int from = 0;
-            for (int i = have - read; i < have && before + i < until; i++) {
+        int buffered = 0;
+        for (int read = in.read(buffer); read > 0; read = in.read(buffer, buffered, buffer.length - buffered)) {
+            buffered += read;
+            int lineStart = 0;
+            for (int i = buffered - read; i < buffered && bufferOffset + i < end; i++) {
                 if (buffer[i] != '\n') {
                     continue;
                 }
-                if (buffer[from] == 'C') {
-                    String[] words = new String(buffer, from, i - from, StandardCharsets.UTF_8).split("\t", -1);
-                    if (words.length != 4 || !words[3].equals(Long.toHexString(crc.getValue()))) {
+                if (buffer[lineStart] == 'C') {
+                    String[] fields = new String(buffer, lineStart, i - lineStart, StandardCharsets.UTF_8).split("\t", -1);
+                    if (fields.length != 4 || !fields[3].equals(Long.toHexString(crc.getValue()))) {
                         return;
                     }
                     crc.reset();
-                    validBytes = sink == null ? before + i + 1 : validBytes;
-                    storedVersion = new StoredVersion(Long.parseLong(words[1]), unescape(words[2]));
+                    validBytes = sink == null ? bufferOffset + i + 1 : validBytes;
+                    storedVersion = new StoredVersion(Long.parseLong(fields[1]), unescape(fields[2]));
                     if (sink != null) {
-                        begin(sink, begun);
+                        beginOnce(sink, begun);
                         sink.end(storedVersion.index, whole);
                         begun = whole = false;
                     }
                 } else {
-                    crc.update(buffer, from, i + 1 - from);
+                    crc.update(buffer, lineStart, i + 1 - lineStart);
                     if (sink != null) {
-                        begun = begin(sink, begun);
-                        sink.entry(parseEntry(new String(buffer, from, i - from, StandardCharsets.UTF_8)));
+                        begun = beginOnce(sink, begun);
+                        sink.entry(parseEntry(new String(buffer, lineStart, i - lineStart, StandardCharsets.UTF_8)));
                     }
                 }
-                from = i + 1;
+                lineStart = i + 1;
             }
-            // What is left is the begin of a line; one that fills the buffer is none, and ends what counts.
-            System.arraycopy(buffer, from, buffer, 0, have - from);
-            before += from;
-            have -= from;
+            // The rest of the buffer is the beginning of a line. No line of ours fills the whole buffer: one that does ends the reading.
+            System.arraycopy(buffer, lineStart, buffer, 0, buffered - lineStart);
+            bufferOffset += lineStart;
+            buffered -= lineStart;
         }
     }
 
-    private static boolean begin(ListSink sink, boolean begun) {
+    /** Begins the list at the sink unless it has begun; true. */
+    private static boolean beginOnce(ListSink sink, boolean begun) {
         if (!begun) {
             sink.begin();
         }
@@ -171,16 +185,16 @@
     }
 
     private static ListUpdate.Entry parseEntry(String line) throws IOException {
-        String[] words = line.split("\t", -1);
+        String[] fields = line.split("\t", -1);
         try {
-            return new ListUpdate.Entry(unescape(words[1]), unescape(words[2]), unescape(words[3]), unescape(words[4]),
-                    Integer.parseInt(words[5]), STATUSES.get(Integer.parseInt(words[0])), Double.parseDouble(words[6]));
+            return new ListUpdate.Entry(unescape(fields[1]), unescape(fields[2]), unescape(fields[3]), unescape(fields[4]),
+                    Integer.parseInt(fields[5]), STATUSES.get(Integer.parseInt(fields[0])), Double.parseDouble(fields[6]));
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             throw new IOException("a line that is no endpoint", e);
         }
     }
 
-    // ---- The form before ----
+    // ---- The previous format ----
 
     private StoredVersion inspectForm1() throws IOException {
         storedVersion = readForm1(new ListReader.CollectingSink(list -> { }));
@@ -188,12 +202,12 @@
     }
 
     private StoredVersion readForm1(ListSink sink) throws IOException {
-        Path before = folder.resolve(FORM_1_FILE_NAME);
-        try (InputStream in = open(before)) {
+        Path form1File = folder.resolve(FORM_1_FILE_NAME);
+        try (InputStream in = open(form1File)) {
             if (in == null) {
                 return null;
             }
-            if (Files.size(before) > maxBytes) {
+            if (Files.size(form1File) > maxBytes) {
                 throw new IOException(FORM_1_FILE_NAME + " is longer than any that was written");
             }
             return readForm1(in, sink);
@@ -202,7 +216,7 @@
 
     private static StoredVersion readForm1(InputStream text, ListSink sink) throws IOException {
         int form = 0;
-        String from = null;
+        String discoveryAddress = null;
         long[] index = {-1};
         try (JsonParser in = new JsonFactory().createParser(text)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -213,7 +227,7 @@
                 in.nextToken();
                 switch (field) {
                     case "form" -> form = in.getIntValue();
-                    case "from" -> from = in.getText();
+                    case "from" -> discoveryAddress = in.getText();
                     case "list" -> ListReader.read(in, new ForwardingListSink(sink) {
                         @Override public void end(long version, boolean whole) throws IOException {
                             index[0] = version;
@@ -224,15 +238,15 @@
                 }
             }
         }
-        if (form != 1 || from == null || index[0] < 0) {
+        if (form != 1 || discoveryAddress == null || index[0] < 0) {
             throw new IOException("not of form 1 or 2");
         }
-        return new StoredVersion(index[0], from);
+        return new StoredVersion(index[0], discoveryAddress);
     }
 
     // ---- Writing ----
 
-    /** A list begins: what was noted of one that has not ended is given up. */
+    /** A list begins: what was staged of a previous one that has not ended is abandoned. */
     public void begin() {
         listInProgress = true;
         if (logWriter != null) {
@@ -240,32 +254,32 @@
         }
     }
 
-    /** An entry of it that differs from what was kept. */
+    /** Stages an entry of the list that differs from the stored list. */
     public void stageEntry(ListUpdate.Entry entry) {
         if (logWriter != null) {
             tryWrite(() -> logWriter.writeEntry(entry));
         }
     }
 
-    /** It holds from now on; a short list that is not kept yet, or has become long, is written anew at once. */
-    public void commit(long index, String from, EndpointTable table) {
+    /** The list is in force from now on. If no file is stored yet, or it has become long, a new snapshot begins; that of a short list is written at once. */
+    public void commit(long index, String discoveryAddress, EndpointTable table) {
         listInProgress = false;
-        storedVersion = new StoredVersion(index, from);
+        storedVersion = new StoredVersion(index, discoveryAddress);
         if (logWriter != null) {
             tryWrite(() -> logWriter.commit(storedVersion));
         }
         if (snapshotWriter != null) {
-            // What it has passed may have changed since: of an endpoint that stands there twice the later line counts. Not begun
-            // anew: guards against lists that change more often than one can be written.
+            // Rows that the snapshot has passed may have changed: they are written again, and of two lines for an endpoint the later one counts.
+            // The snapshot is not started again, as a list that changes faster than a snapshot is written would never be stored.
             tryWrite(() -> {
                 for (int i = 0; i < table.changedRows(); i++) {
-                    int touched = table.changedRows(i);
-                    if (touched < snapshotRow && table.status(touched) == EndpointTable.ABSENT) {
-                        // Its place may be another's by the time that what is stale is written.
-                        snapshotWriter.writeEntry(table.entry(touched));
-                        staleRows.clear(touched);
-                    } else if (touched < snapshotRow) {
-                        staleRows.set(touched);
+                    int changed = table.changedRows(i);
+                    if (changed < snapshotRow && table.status(changed) == EndpointTable.ABSENT) {
+                        // Written now, as the row may belong to another endpoint by the time the stale rows are written.
+                        snapshotWriter.writeEntry(table.entry(changed));
+                        staleRows.clear(changed);
+                    } else if (changed < snapshotRow) {
+                        staleRows.set(changed);
                     }
                 }
             });
@@ -280,28 +294,28 @@
         writeSnapshotSlice(table);
     }
 
-    /** Whether {@link #slice} has something to do; a snapshot that is ready waits for the end of a list that is on its way. */
+    /** Whether {@link #writeSnapshotSlice} has something to do; a complete snapshot waits for the end of a list that is being read. */
     public boolean hasSnapshotWork() {
         return snapshotWriter != null && !(listInProgress && snapshotComplete);
     }
 
-    /** The next slice of a new snapshot. It takes the file's place not while a list is on its way: what was noted of that is there. */
+    /** Writes the next slice of a new snapshot. It does not replace the file while a list is being read, as that list's entries are staged there. */
     public void writeSnapshotSlice(EndpointTable table) {
         if (snapshotWriter == null) {
             return;
         }
         tryWrite(() -> {
-            int from = snapshotRow;
-            int until = Math.min(table.rows(), snapshotRow + SLICE_ROWS);
-            for (; snapshotRow < until; snapshotRow++) {
+            int firstRow = snapshotRow;
+            int endRow = Math.min(table.rows(), snapshotRow + SLICE_ROWS);
+            for (; snapshotRow < endRow; snapshotRow++) {
                 if (table.status(snapshotRow) != EndpointTable.ABSENT) {
                     snapshotWriter.writeEntry(table.entry(snapshotRow));
                 }
             }
-            for (int left = until - from; left < SLICE_ROWS && !staleRows.isEmpty(); left++) {
-                int again = staleRows.nextSetBit(0);
-                staleRows.clear(again);
-                snapshotWriter.writeEntry(table.entry(again));
+            for (int written = endRow - firstRow; written < SLICE_ROWS && !staleRows.isEmpty(); written++) {
+                int staleRow = staleRows.nextSetBit(0);
+                staleRows.clear(staleRow);
+                snapshotWriter.writeEntry(table.entry(staleRow));
             }
             snapshotComplete = snapshotRow >= table.rows() && staleRows.isEmpty();
             if (snapshotComplete && !listInProgress) {
@@ -320,10 +334,10 @@
         void run() throws IOException;
     }
 
-    /** Where it can't be kept nothing stays that is older, and the node goes on without. */
-    private void tryWrite(WriteOperation attempt) {
+    /** If the list can't be stored, an older one is deleted too, and the node goes on without a stored list. */
+    private void tryWrite(WriteOperation operation) {
         try {
-            attempt.run();
+            operation.run();
         } catch (IOException e) {
             if (!warningLogged) {
                 warningLogged = true;
@@ -335,16 +349,18 @@
     }
 
     /**
-     * Leaves its room to what is owed, where that finds none; false: it had none. The next list that is told is kept anew, as
-     * far as there is room again.
+     * Deletes the stored list to make space for the records of accepted mails on a full disk. The next list that is told is stored again, as
+     * far as there is space.
+     *
+     * @return false: there was nothing to delete
      */
     public boolean discard() {
-        boolean removed = deleteFiles();
-        if (removed && !warningLogged) {
+        boolean deleted = deleteFiles();
+        if (deleted && !warningLogged) {
             warningLogged = true;
             LogEvent.log(LOG, Level.WARNING, "list.kept", "the list kept for the next start leaves its room to what is owed");
         }
-        return removed;
+        return deleted;
     }
 
     private boolean deleteFiles() {
@@ -352,7 +368,7 @@
         try {
             return Files.deleteIfExists(nextFile) | Files.deleteIfExists(file) | Files.deleteIfExists(folder.resolve(FORM_1_FILE_NAME));
         } catch (IOException e) {
-            // The next start takes what is newer of this and its config's list.
+            // The next start uses the newer of what is left here and the list in its config.
             return false;
         }
     }
@@ -373,21 +389,22 @@
         }
     }
 
-    /** A file that grows line by line; what follows its last commit does not count yet. */
+    /** A file that is appended to line by line; lines after its last commit are not valid yet. */
     private final class LogWriter {
         private final FileChannel channel;
         private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(256);
         private final CRC32 crc = new CRC32();
         private long writtenBytes;
         private long committedBytes;
-        /** Bytes, those gathered counted. */
+        /** Bytes including those in the buffer. */
         private long size;
 
-        LogWriter(Path path, long from) throws IOException {
+        /** keptBytes: what is kept of the file's content; the rest is truncated. */
+        LogWriter(Path path, long keptBytes) throws IOException {
             channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            channel.truncate(from);
-            writtenBytes = committedBytes = size = from;
-            if (from == 0) {
+            channel.truncate(keptBytes);
+            writtenBytes = committedBytes = size = keptBytes;
+            if (keptBytes == 0) {
                 append(HEADER);
             }
         }
@@ -402,14 +419,14 @@
             }
         }
 
-        void commit(StoredVersion now) throws IOException {
-            append("C\t" + now.index + "\t" + escape(now.discoveryAddress) + "\t" + Long.toHexString(crc.getValue()) + "\n");
+        void commit(StoredVersion version) throws IOException {
+            append("C\t" + version.index + "\t" + escape(version.discoveryAddress) + "\t" + Long.toHexString(crc.getValue()) + "\n");
             flush();
             crc.reset();
             committedBytes = writtenBytes;
         }
 
-        /** Back to the last commit. */
+        /** Removes everything after the last commit. */
         void rollBack() throws IOException {
             buffer.reset();
             crc.reset();
--- a/node/src/main/java/wrenreach/endpoints/ListReader.java
+++ b/node/src/main/java/wrenreach/endpoints/ListReader.java
@@ -10,45 +10,50 @@
 import java.util.function.Consumer;
 
 /**
- * Reads discovery's form of a list piece by piece, as its bytes come: what is in memory is one entry and the piece. An
- * IOException says what is malformed or why the sink can't take it; the reader is of no further use then.
+ * Parses discovery's JSON form of a list incrementally, as its bytes arrive: only one entry and the current bytes are in memory. An
+ * IOException says what is malformed or why the sink can't accept the list; the reader can't be used after that.
  */
 public final class ListReader {
     private static final JsonFactory JSON = new JsonFactory();
     private static final List<String> STATUSES = List.of("SERVING", "DRAINING", "DELETED");
 
+    /** Where in the list the parser is. */
     private enum State { START, LIST, ENDPOINTS, ENDPOINT, DONE }
 
     private final ListSink sink;
     private final JsonParser parser;
     private State state = State.START;
+    /** The JSON field whose value comes next. */
     private String field = "";
-    /** How deep in something that is passed over. */
+    /** Nesting depth within an unknown structure that is skipped; 0: none is. */
     private int skipDepth;
     private long entryCount;
+    /** Version of the list; -1: not read yet. */
     private long index = -1;
+    /** Whether the list is a snapshot of the whole list. */
     private boolean whole;
+    /** The fields of the endpoint that is being read. */
     private String name, address, zone, type, status;
     private int group;
     private double weight;
 
-    /** A list to come in pieces. */
+    /** A reader of one list, whose bytes are passed to {@link #feed}. */
     public ListReader(ListSink sink) throws IOException {
         this(sink, JSON.createNonBlockingByteArrayParser());
     }
 
-    private ListReader(ListSink sink, JsonParser in) {
+    private ListReader(ListSink sink, JsonParser parser) {
         this.sink = sink;
-        this.parser = in;
+        this.parser = parser;
         sink.begin();
     }
 
-    /** The list that the parser stands at the begin of. */
-    public static void read(JsonParser in, ListSink sink) throws IOException {
-        ListReader reader = new ListReader(sink, in);
-        reader.handle(in.currentToken());
+    /** Reads the list whose first token is the parser's current one. */
+    public static void read(JsonParser parser, ListSink sink) throws IOException {
+        ListReader reader = new ListReader(sink, parser);
+        reader.handle(parser.currentToken());
         while (reader.state != State.DONE) {
-            JsonToken token = in.nextToken();
+            JsonToken token = parser.nextToken();
             if (token == null) {
                 throw new IOException("it ends within the list");
             }
@@ -57,22 +62,22 @@
         reader.finish();
     }
 
-    /** One list that is there whole. */
+    /** Reads one list whose bytes are all present. */
     public static ListUpdate read(byte[] text) throws IOException {
-        ListUpdate[] read = new ListUpdate[1];
-        ListReader reader = new ListReader(new CollectingSink(line -> read[0] = line));
+        ListUpdate[] result = new ListUpdate[1];
+        ListReader reader = new ListReader(new CollectingSink(update -> result[0] = update));
         reader.feed(text, 0, text.length);
         reader.finish();
-        return read[0];
+        return result[0];
     }
 
-    /** Collects a list into an object. */
+    /** Collects a list into one {@link ListUpdate}. */
     public static final class CollectingSink implements ListSink {
         private final Consumer<ListUpdate> consumer;
         private List<ListUpdate.Entry> entries = new ArrayList<>();
 
-        public CollectingSink(Consumer<ListUpdate> taker) {
-            this.consumer = taker;
+        public CollectingSink(Consumer<ListUpdate> consumer) {
+            this.consumer = consumer;
         }
 
         @Override public void begin() {
@@ -88,7 +93,7 @@
         }
     }
 
-    /** The next bytes of it. */
+    /** Parses the next bytes of the list: those from from up to, but not including, to. */
     public void feed(byte[] bytes, int from, int to) throws IOException {
         ByteArrayFeeder feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
         feeder.feedInput(bytes, from, to);
@@ -101,12 +106,12 @@
         }
     }
 
-    /** Entries read so far. */
+    /** The number of entries read so far. */
     public long entryCount() {
         return entryCount;
     }
 
-    /** All bytes have come: the list holds now, or it is malformed. */
+    /** All bytes have been fed: ends the list at the sink, or throws IOException if it is incomplete. */
     public void finish() throws IOException {
         if (state != State.DONE) {
             throw new IOException("it ends within the list");
@@ -147,7 +152,7 @@
         }
     }
 
-    /** Whether a structure may begin here; any other is passed over where its field is not known. */
+    /** Whether an object or array may begin here. One of an unknown field is skipped; one as the value of a known field is an error. */
     private boolean isExpected(JsonToken token) throws IOException {
         boolean known = switch (state) {
             case LIST -> field.equals("endpoints") || field.equals("index") || field.equals("snapshot");
@@ -204,7 +209,7 @@
             throw new IOException("an endpoint without a name or group");
         }
         if (!STATUSES.contains(status)) {
-            // Guards endpoints against a spoilt word: taken for an end, it would drop them.
+            // A corrupted status must not be taken for the end of an endpoint, as that would remove it.
             throw new IOException("an endpoint of an unknown status");
         }
         entryCount++;
--- a/node/src/main/java/wrenreach/endpoints/ListSink.java
+++ b/node/src/main/java/wrenreach/endpoints/ListSink.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 
-/** Who takes a list as it is read, entry by entry; what it takes holds only once the list has ended. */
+/** Receives a list entry by entry while it is read; the entries take effect only once the list has ended. */
 public interface ListSink {
-    /** A list begins; one that has not ended is given up. */
+    /** A list begins; a previous one that has not ended is abandoned. */
     void begin();
 
-    /** An entry; IOException: the list can't be taken, and the message says why. */
+    /** An entry of the list. Throws IOException if the list can't be accepted; the message says why. */
     void entry(ListUpdate.Entry entry) throws IOException;
 
-    /** All of it has come: its version, and whether it is the whole list or what has changed. */
+    /** The list is complete: its version, and whether it is a snapshot of the whole list or a delta. */
     void end(long index, boolean whole) throws IOException;
 }
--- a/node/src/test/java/wrenreach/endpoints/EndpointTableTest.java
+++ b/node/src/test/java/wrenreach/endpoints/EndpointTableTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class EndpointTableTest {
+    /** The size of list that the table is designed for. */
     static final int TARGET_ENDPOINTS = 310_000;
     private final EndpointTable table = new EndpointTable(24_000_000, "an eighth of something");
 
@@ -36,7 +37,7 @@
         return found;
     }
 
-    /** Lists of any kind, cut off or not, against a map: what the table says, finds and counts is the same. */
+    /** Random lists, complete or abandoned, are compared with a map: the table returns, finds and counts the same endpoints. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomListsMatchAMapModel(long seed) throws IOException {
@@ -47,7 +48,7 @@
         for (int list = 1; list <= 300; list++) {
             boolean whole = random.nextInt(8) == 0;
             boolean ends = random.nextInt(6) > 0;
-            Map<String, ListUpdate.Entry> after = whole ? new LinkedHashMap<>() : new LinkedHashMap<>(model);
+            Map<String, ListUpdate.Entry> modelAfter = whole ? new LinkedHashMap<>() : new LinkedHashMap<>(model);
             ListSink sink = table.sink();
             sink.begin();
             for (int i = random.nextInt(40); i > 0; i--) {
@@ -57,15 +58,15 @@
                         random.nextInt(10), status, random.nextInt(3));
                 sink.entry(entry);
                 if (status.equals("DELETED")) {
-                    after.remove(entry.name());
+                    modelAfter.remove(entry.name());
                 } else {
-                    after.put(entry.name(), entry);
+                    modelAfter.put(entry.name(), entry);
                 }
             }
-            assertThat(entriesInForce()).as("while list %d is on its way", list).isEqualTo(model);
+            assertThat(entriesInForce()).as("while list %d is being read", list).isEqualTo(model);
             if (ends) {
                 sink.end(list, whole);
-                model = after;
+                model = modelAfter;
                 assertThat(table.index()).isEqualTo(list);
             }
             assertThat(entriesInForce()).as("after list %d", list).isEqualTo(model);
@@ -86,10 +87,10 @@
             }
         }
         table.begin();
-        assertThat(table.bytes()).as("rows of what has left are given back").isLessThan(100 * (model.size() + 1));
+        assertThat(table.bytes()).as("rows of removed endpoints are freed").isLessThan(100 * (model.size() + 1));
     }
 
-    /** The size to come: one endpoint each, all taken out, all anew; and a change that touches all costs no second table. */
+    /** At the target size, with one endpoint a destination: all are removed, all are added again, and a change of every endpoint takes no second table. */
     @Test void targetSizeFitsTheLimitWhateverChanges() throws IOException {
         table.apply(snapshot(1, TARGET_ENDPOINTS));
         assertThat(table.size()).isEqualTo(TARGET_ENDPOINTS);
@@ -98,8 +99,8 @@
         assertThat(table.rowsOf(TARGET_ENDPOINTS - 1)).hasSize(1);
         List<ListUpdate.Entry> entries = new ArrayList<>();
         for (int i = 0; i < TARGET_ENDPOINTS; i++) {
-            ListUpdate.Entry e = entry(i, "DRAINING");
-            entries.add(new ListUpdate.Entry(e.name(), "10.99.0.1:" + i % 60_000, e.zone(), e.type(), e.group(), e.status(), 1.25));
+            ListUpdate.Entry old = entry(i, "DRAINING");
+            entries.add(new ListUpdate.Entry(old.name(), "10.99.0.1:" + i % 60_000, old.zone(), old.type(), old.group(), old.status(), 1.25));
         }
         table.apply(new ListUpdate(2, false, entries));
         assertThat(table.bytes()).isEqualTo(full);
@@ -111,7 +112,7 @@
         assertThat(table.bytes()).isEqualTo(full);
     }
 
-    /** A list beyond the bound is refused whole, with the figure; once it has shrunk it is taken. */
+    /** A list beyond the limit is rejected as a whole, with the limit in the message; once it has shrunk it is applied. */
     @Test void listBeyondTheLimitLeavesThePreviousOneInForce() throws IOException {
         EndpointTable small = new EndpointTable(10_000, "an eighth of something");
         small.apply(snapshot(1, 3));
@@ -125,7 +126,7 @@
         assertThat(small.snapshot().entries()).containsExactlyInAnyOrderElementsOf(snapshot(3, 100).entries());
     }
 
-    /** Guards drains against the tidying up of the list before: it goes on between the pieces of the next one. */
+    /** Rows of the previous list are reclaimed between the pieces of the next one: that must not lose staged drains. */
     @Test void stagedEntriesSurviveReclaim() throws IOException {
         EndpointTable table = new EndpointTable(1_000_000, "a test");
         table.apply(snapshot(1, 50));
@@ -145,7 +146,7 @@
         assertThat(table.snapshot().entries()).hasSize(50);
     }
 
-    /** Guards memory against a list that names the same few for ever. */
+    /** A list that names the same few endpoints without end must not use up the memory. */
     @Test void endlessListIsRejected() {
         EndpointTable small = new EndpointTable(10_000, "an eighth of something");
         ListSink sink = small.sink();
@@ -157,7 +158,7 @@
         }).isInstanceOf(EndpointTable.TooLarge.class);
     }
 
-    /** Guards against a mixture of two lists that come at the same time: the one that began first is not taken. */
+    /** Two lists that are read at the same time must not be mixed: the one that began first is rejected. */
     @Test void ofTwoConcurrentListsTheLaterOneIsApplied() throws IOException {
         ListSink first = table.sink();
         ListSink second = table.sink();
--- a/node/src/test/java/wrenreach/endpoints/ListLogTest.java
+++ b/node/src/test/java/wrenreach/endpoints/ListLogTest.java
@@ -16,25 +16,25 @@
     private static final long FOLDER_LIMIT_BYTES = 50_000_000;
     private static final String DISCOVERY_ADDRESS = "127.0.0.1:9";
     @TempDir Path folder;
-    private EndpointTable table = table();
+    private EndpointTable table = newTable();
 
-    private static EndpointTable table() {
+    private static EndpointTable newTable() {
         return new EndpointTable(1_000_000, "a test");
     }
 
-    /** Takes a list as a node does. */
-    private void apply(ListLog log, ListUpdate line) throws IOException {
+    /** Applies a list to the table and stores it, as a node does. */
+    private void apply(ListLog log, ListUpdate update) throws IOException {
         ListSink sink = table.sink(log::stageEntry);
         sink.begin();
         log.begin();
-        for (ListUpdate.Entry entry : line.entries()) {
+        for (ListUpdate.Entry entry : update.entries()) {
             sink.entry(entry);
         }
-        sink.end(line.index(), line.whole());
+        sink.end(update.index(), update.whole());
         for (int i = table.implicitRemovalsFrom(); i < table.changedRows(); i++) {
             log.stageEntry(table.entry(table.changedRows(i)));
         }
-        log.commit(line.index(), DISCOVERY_ADDRESS, table);
+        log.commit(update.index(), DISCOVERY_ADDRESS, table);
     }
 
     private static void finishSnapshot(ListLog log, EndpointTable table) {
@@ -47,18 +47,18 @@
         return new ListUpdate(index, false, List.of(entries));
     }
 
-    /** What a later process finds. */
+    /** The table as a later process recovers it from the folder. */
     private static EndpointTable recoveredTable(Path folder) throws IOException {
-        EndpointTable later = table();
+        EndpointTable later = newTable();
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
-        ListLog.StoredVersion kept = log.inspect();
-        if (kept == null) {
+        ListLog.StoredVersion stored = log.inspect();
+        if (stored == null) {
             return later;
         }
         log.replayTo(later.sink());
         log.close();
-        assertThat(later.index()).isEqualTo(kept.index());
-        assertThat(kept.discoveryAddress()).isEqualTo(DISCOVERY_ADDRESS);
+        assertThat(later.index()).isEqualTo(stored.index());
+        assertThat(stored.discoveryAddress()).isEqualTo(DISCOVERY_ADDRESS);
         return later;
     }
 
@@ -66,7 +66,10 @@
         return table.snapshot().entries().stream().sorted((a, b) -> a.name().compareTo(b.name())).toList();
     }
 
-    /** Wherever a kill cuts the file: what is found is one of the lists that were told, whole; and changes are added to it. */
+    /**
+     * A kill may cut the file at any byte: what is recovered is one of the lists that were told, whole and with the deltas appended since, and never
+     * an older one for a later cut.
+     */
     @Test void killAtAnyByteLeavesOneOfTheLists() throws IOException {
         List<List<ListUpdate.Entry>> states = new ArrayList<>();
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
@@ -81,40 +84,40 @@
         states.add(sortedEntries(table));
         log.close();
         byte[] bytes = Files.readAllBytes(folder.resolve(ListLog.FILE_NAME));
-        int at = -1;
+        int latestState = -1;
         for (int cut = 0; cut <= bytes.length; cut++) {
             Path other = Files.createDirectories(folder.resolve("cut"));
             Files.write(other.resolve(ListLog.FILE_NAME), Arrays.copyOf(bytes, cut));
-            List<ListUpdate.Entry> now;
+            List<ListUpdate.Entry> recovered;
             try {
-                now = sortedEntries(recoveredTable(other));
+                recovered = sortedEntries(recoveredTable(other));
             } catch (IOException e) {
-                assertThat(at).as("nothing is lost once it was there, cut at %d", cut).isEqualTo(-1);
+                assertThat(latestState).as("a list that was recovered once is recovered from every longer file, cut at %d", cut).isEqualTo(-1);
                 continue;
             }
-            int state = states.indexOf(now);
-            assertThat(state).as("cut at %d", cut).isGreaterThanOrEqualTo(Math.max(0, at));
-            at = state;
+            int state = states.indexOf(recovered);
+            assertThat(state).as("cut at %d", cut).isGreaterThanOrEqualTo(Math.max(0, latestState));
+            latestState = state;
         }
-        assertThat(at).isEqualTo(states.size() - 1);
+        assertThat(latestState).isEqualTo(states.size() - 1);
     }
 
-    /** A byte that has turned: what stands behind it is not trusted. */
+    /** A corrupted byte: nothing behind it is trusted. */
     @Test void contentFromDamageOnIsIgnored() throws IOException {
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
         apply(log, EndpointTableTest.snapshot(1, 3));
         List<ListUpdate.Entry> first = sortedEntries(table);
-        long sound = Files.size(folder.resolve(ListLog.FILE_NAME));
+        long validBytes = Files.size(folder.resolve(ListLog.FILE_NAME));
         apply(log, delta(2, EndpointTableTest.entry(2, "DRAINING")));
         apply(log, delta(3, EndpointTableTest.entry(1, "DRAINING")));
         log.close();
         byte[] bytes = Files.readAllBytes(folder.resolve(ListLog.FILE_NAME));
-        bytes[(int) sound + 3] ^= 1;
+        bytes[(int) validBytes + 3] ^= 1;
         Files.write(folder.resolve(ListLog.FILE_NAME), bytes);
         assertThat(sortedEntries(recoveredTable(folder))).isEqualTo(first);
     }
 
-    /** What was noted of a list that never ended is no part of the next one. */
+    /** Entries that were staged for a list that never ended are not part of the next one. */
     @Test void abandonedListLeavesNoEntries() throws IOException {
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
         apply(log, EndpointTableTest.snapshot(1, 3));
@@ -127,7 +130,7 @@
         assertThat(sortedEntries(recoveredTable(folder))).isEqualTo(sortedEntries(table)).hasSize(3);
     }
 
-    /** A later process adds to what it found, and a torn end is cut off before. */
+    /** A later process appends to the file that it found, after truncating a torn end. */
     @Test void laterProcessAppendsAfterTheLastCommit() throws IOException {
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
         apply(log, EndpointTableTest.snapshot(1, 3));
@@ -144,7 +147,7 @@
                 .contains(EndpointTableTest.entry(1, "DRAINING"));
     }
 
-    /** A long list is written in slices; what changes between them is in it, and one that is not finished does not count. */
+    /** A long list is written in slices: changes made between slices are included, and an unfinished snapshot is not used. */
     @Test void snapshotInSlicesIncludesChangesMadeMeanwhile() throws IOException {
         int count = 5 * ListLog.SLICE_ROWS;
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
@@ -160,7 +163,10 @@
         assertThat(folder.resolve(ListLog.NEXT_FILE_NAME)).doesNotExist();
     }
 
-    /** Guards what a list tells against a new snapshot that is ready between its pieces; and the loop against one that never ends. */
+    /**
+     * A snapshot that becomes complete while a list is being read must not replace the file that the list's entries are staged in; and it must not
+     * keep the event loop busy while it waits.
+     */
     @Test void snapshotFinishedWhileAListIsReadMissesNothing() throws IOException {
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
         apply(log, EndpointTableTest.snapshot(1, 3 * ListLog.SLICE_ROWS));
@@ -182,7 +188,7 @@
         assertThat(sortedEntries(recoveredTable(folder))).isEqualTo(sortedEntries(table)).filteredOn(e -> e.status().equals("DRAINING")).hasSize(2);
     }
 
-    /** It does not grow for ever: changes time and again leave a file of the list's own length. */
+    /** The file does not grow without bound: after any number of changes its size is in proportion to the list. */
     @Test void logThatHasDoubledIsRewritten() throws IOException {
         ListLog log = new ListLog(folder, FOLDER_LIMIT_BYTES);
         apply(log, EndpointTableTest.snapshot(1, 100));
@@ -194,7 +200,7 @@
         assertThat(sortedEntries(recoveredTable(folder))).isEqualTo(sortedEntries(table));
     }
 
-    /** The size to come, 1.3% of it drained and back time and again, half of it in the middle of a new snapshot: all stays bounded. */
+    /** At the target size, 1.3% of the endpoints drain and return repeatedly, half of that while a new snapshot is being written: all stays bounded. */
     @Test void flappingEndpointsAtTargetSizeLeaveTableAndFileBounded() throws IOException {
         table = new EndpointTable(64_000_000, "a test");
         ListLog log = new ListLog(folder, 50 * 64_000_000L);
@@ -208,7 +214,7 @@
             down[i] = EndpointTableTest.entry(i * 76, "DRAINING");
             up[i] = EndpointTableTest.entry(i * 76, "SERVING");
         }
-        int anew = 0;
+        int rewrites = 0;
         for (int i = 2; i < 202; i++) {
             long before = Files.size(folder.resolve(ListLog.FILE_NAME));
             apply(log, delta(i, i % 2 == 0 ? down : up));
@@ -218,9 +224,9 @@
             assertThat(table.bytes()).isEqualTo(bytes);
             long after = Files.size(folder.resolve(ListLog.FILE_NAME));
             assertThat(after).isLessThan(2 * file + 4 * file / 50);
-            anew += after < before ? 1 : 0;
+            rewrites += after < before ? 1 : 0;
         }
-        assertThat(anew).as("written anew").isPositive();
+        assertThat(rewrites).as("rewrites").isPositive();
         apply(log, delta(202, down));
         log.close();
         EndpointTable later = new EndpointTable(64_000_000, "a test");
@@ -235,7 +241,7 @@
         }
     }
 
-    /** Where it has no room nothing older stays; once the list has shrunk it is kept again. */
+    /** A list that exceeds the log's limit is not stored, and no older one stays; once the list has shrunk it is stored again. */
     @Test void listThatExceedsTheLimitLeavesNoOlderOne() throws IOException {
         ListLog log = new ListLog(folder, 50 * 2000);
         apply(log, EndpointTableTest.snapshot(1, 3));
@@ -248,7 +254,7 @@
         assertThat(sortedEntries(recoveredTable(folder))).isEqualTo(sortedEntries(table));
     }
 
-    /** The form of the version before is read, and goes once the new one stands. */
+    /** The previous format is read, and its file is deleted once a file of the new format exists. */
     @Test void form1IsRead() throws IOException {
         Files.writeString(folder.resolve(ListLog.FORM_1_FILE_NAME), "{\"form\":1,\"from\":\"" + DISCOVERY_ADDRESS + "\",\"list\":{\"index\":7,"
                 + "\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"\",\"type\":\"\","
