--- a/log/src/main/java/wrenreach/log/JsonLog.java
+++ b/log/src/main/java/wrenreach/log/JsonLog.java
@@ -28,15 +28,17 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Structured logs: one JSON object a line with time, level, event, node and the event's own fields. System.Logger hands
- * records to the JDK's root logger; this takes the place of its handlers and passes them on to Logback, which writes
- * them on a thread of its own from a queue of fixed length. Guards the loop: a reader of the log that stalls costs
- * lines, which are counted, and never a turn. Nothing of Logback is loaded before {@link #start}.
+ * Structured logs: one JSON object a line with time, level, event, node and the event's own fields. System.Logger passes records to the JDK's
+ * root logger; this class replaces the root logger's handlers and forwards the records to Logback, which writes them on a thread of its own
+ * from a queue of fixed length. So a stalled reader of the log costs lines, which are counted, and never blocks the event loop. Nothing of
+ * Logback is loaded before {@link #start}.
  */
 public final class JsonLog implements AutoCloseable {
+    /** Records that wait to be written. */
     private static final int QUEUE_LENGTH = 1024;
-    /** How long the queue may take to empty at the end, in milliseconds. */
+    /** How long writing the queued lines may take on close, in milliseconds. */
     private static final int FLUSH_TIMEOUT_MS = 500;
+    /** Names of JSON fields. */
     private static final String NODE_FIELD = "node", EVENT_FIELD = "event", MESSAGE_FIELD = "message";
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -45,45 +47,46 @@
     private final LoggerContext context = new LoggerContext();
     private final AsyncAppender queue = new AsyncAppender();
     private final String node;
+    /** Lines lost because the queue was full. */
     private long dropped;
-    /** How many of those lost the log has told of. */
+    /** How many of the lost lines have been reported in the log. */
     private long reportedDropped;
 
     private JsonLog(String node, OutputStream out) {
         this.node = node;
-        JsonLayout lines = new JsonLayout();
+        JsonLayout layout = new JsonLayout();
         LayoutWrappingEncoder<ILoggingEvent> encoder = new LayoutWrappingEncoder<>();
         encoder.setCharset(StandardCharsets.UTF_8);
-        encoder.setLayout(lines);
-        OutputStreamAppender<ILoggingEvent> written = new OutputStreamAppender<>();
-        written.setEncoder(encoder);
+        encoder.setLayout(layout);
+        OutputStreamAppender<ILoggingEvent> writer = new OutputStreamAppender<>();
+        writer.setEncoder(encoder);
         queue.setQueueSize(QUEUE_LENGTH);
         queue.setDiscardingThreshold(0);
         queue.setNeverBlock(true);
         queue.setMaxFlushTime(FLUSH_TIMEOUT_MS);
         queue.setName("log");
-        lines.setContext(context);
+        layout.setContext(context);
         encoder.setContext(context);
-        written.setContext(context);
+        writer.setContext(context);
         queue.setContext(context);
         context.setMDCAdapter(new LogbackMDCAdapter());
         context.start();
-        lines.start();
+        layout.start();
         encoder.start();
-        written.setOutputStream(out);
-        written.start();
-        queue.addAppender(written);
+        writer.setOutputStream(out);
+        writer.start();
+        queue.addAppender(writer);
         queue.start();
-        ch.qos.logback.classic.Logger all = context.getLogger(ch.qos.logback.classic.Logger.ROOT_LOGGER_NAME);
-        all.setLevel(ch.qos.logback.classic.Level.ALL);
-        all.addAppender(queue);
+        ch.qos.logback.classic.Logger logbackRoot = context.getLogger(ch.qos.logback.classic.Logger.ROOT_LOGGER_NAME);
+        logbackRoot.setLevel(ch.qos.logback.classic.Level.ALL);
+        logbackRoot.addAppender(queue);
         for (Handler handler : previousHandlers) {
             root.removeHandler(handler);
         }
         root.addHandler(new BridgeHandler());
     }
 
-    /** From now on every log line of this process is a JSON object on out, which names the node. */
+    /** From now on every log line of this process is a JSON object on out, with the node's name in it. */
     public static JsonLog start(String node, OutputStream out) {
         return new JsonLog(node, out);
     }
@@ -93,7 +96,7 @@
         return dropped;
     }
 
-    /** Writes what is queued, for half a second at most, and gives the log back to who had it before. */
+    /** Writes what is queued, for half a second at most, and restores the previous handlers. */
     @Override public void close() {
         for (Handler handler : root.getHandlers()) {
             root.removeHandler(handler);
@@ -104,7 +107,7 @@
         context.stop();
     }
 
-    /** From the JDK's records to SLF4J's events. */
+    /** Converts the JDK's log records to events of SLF4J. */
     private final class BridgeHandler extends Handler {
         private final SimpleFormatter formatter = new SimpleFormatter();
 
@@ -126,13 +129,13 @@
                 }
             }
             var event = log.atLevel(level(record.getLevel())).setCause(record.getThrown());
-            Object[] given = record.getParameters();
-            if (given != null && given.length == 1 && given[0] instanceof LogEvent told) {
-                event = event.addKeyValue(EVENT_FIELD, told.name());
-                for (Map.Entry<String, Object> field : told.fields().entrySet()) {
+            Object[] parameters = record.getParameters();
+            if (parameters != null && parameters.length == 1 && parameters[0] instanceof LogEvent logEvent) {
+                event = event.addKeyValue(EVENT_FIELD, logEvent.name());
+                for (Map.Entry<String, Object> field : logEvent.fields().entrySet()) {
                     event = event.addKeyValue(field.getKey(), field.getValue());
                 }
-                event.log(told.toString());
+                event.log(logEvent.toString());
             } else {
                 event.addKeyValue(EVENT_FIELD, "line").log(formatter.formatMessage(record));
             }
--- a/log/src/main/java/wrenreach/log/LogRateLimiter.java
+++ b/log/src/main/java/wrenreach/log/LogRateLimiter.java
@@ -1,8 +1,8 @@
 package wrenreach.log;
 
 /**
- * So many lines of a kind in a window of time, and the rest counted: guards the log where thousands of things fail at a time.
- * Times in any one unit; owned by one thread.
+ * Allows a number of lines of a kind in each window of time and counts the rest, so that the log isn't flooded when thousands of things fail
+ * at a time. Times are in any one unit; owned by one thread.
  */
 public final class LogRateLimiter {
     private final int maxLines;
@@ -11,25 +11,25 @@
     private int allowedLines;
     private int suppressed;
 
-    /** lines: at most so many in each window. */
-    public LogRateLimiter(int lines, long window) {
-        this.maxLines = lines;
+    /** maxLines: the most lines that are allowed in each window. */
+    public LogRateLimiter(int maxLines, long window) {
+        this.maxLines = maxLines;
         this.window = window;
     }
 
-    /** Whether a line may be said now; if not, it is counted. */
+    /** Whether a line may be logged now; if not, it is counted as suppressed. */
     public boolean tryAcquire(long now) {
         if (now >= windowEnd) {
             windowEnd = now + window;
             allowedLines = 0;
         }
-        boolean may = allowedLines < maxLines;
-        allowedLines += may ? 1 : 0;
-        suppressed += may ? 0 : 1;
-        return may;
+        boolean allowed = allowedLines < maxLines;
+        allowedLines += allowed ? 1 : 0;
+        suppressed += allowed ? 0 : 1;
+        return allowed;
     }
 
-    /** How many have been left out since this was asked last. */
+    /** How many lines have been suppressed since the last call; starts counting anew. */
     public int suppressed() {
         int count = suppressed;
         suppressed = 0;
--- a/log/src/test/java/wrenreach/log/JsonLogTest.java
+++ b/log/src/test/java/wrenreach/log/JsonLogTest.java
@@ -56,12 +56,12 @@
         assertThat(parseObject(lines()[2]).get("thrown")).contains("torn");
     }
 
-    /** Guards the loop: a reader of the log that stalls costs lines, which are counted, and never a turn. */
+    /** A reader of the log that stalls costs lines, which are counted, but never blocks the event loop. */
     @Test void stalledReaderLosesLinesAndBlocksNobody() throws Exception {
-        CountDownLatch goesOn = new CountDownLatch(1);
+        CountDownLatch resumed = new CountDownLatch(1);
         OutputStream stalled = new OutputStream() {
             @Override public void write(int b) {
-                while (goesOn.getCount() > 0) {
+                while (resumed.getCount() > 0) {
                     Thread.onSpinWait();
                 }
                 out.write(b);
@@ -73,7 +73,7 @@
                 LogEvent.log(LOG, Level.INFO, "many", "line {i}", "i", i);
             }
             dropped = log.dropped();
-            goesOn.countDown();
+            resumed.countDown();
             while (out.size() < 200_000 && lines().length < 1000) {
                 Thread.sleep(5);
             }
--- a/log/src/test/java/wrenreach/log/LogRateLimiterTest.java
+++ b/log/src/test/java/wrenreach/log/LogRateLimiterTest.java
@@ -5,27 +5,27 @@
 import org.junit.jupiter.api.Test;
 
 class LogRateLimiterTest {
-    /** Whatever comes: no more lines than granted in a window, and each one that is not said is counted once. */
+    /** At any rate of calls no more lines are allowed in a window than the limit, and each line that is not allowed is counted once. */
     @Test void eachLineIsAllowedOrCounted() {
-        LogRateLimiter ration = new LogRateLimiter(3, 10);
-        int said = 0, counted = 0;
+        LogRateLimiter limiter = new LogRateLimiter(3, 10);
+        int allowed = 0, counted = 0;
         for (int now = 0; now < 100; now++) {
-            int before = said;
-            said += ration.tryAcquire(now) ? 1 : 0;
-            if (said > before) {
-                counted += ration.suppressed();
+            int allowedBefore = allowed;
+            allowed += limiter.tryAcquire(now) ? 1 : 0;
+            if (allowed > allowedBefore) {
+                counted += limiter.suppressed();
             }
         }
-        assertThat(said).isEqualTo(30);
-        assertThat(counted + ration.suppressed()).isEqualTo(70);
-        assertThat(ration.suppressed()).isZero();
+        assertThat(allowed).isEqualTo(30);
+        assertThat(counted + limiter.suppressed()).isEqualTo(70);
+        assertThat(limiter.suppressed()).isZero();
     }
 
     @Test void fewLinesAreAllAllowed() {
-        LogRateLimiter ration = new LogRateLimiter(2, 10);
+        LogRateLimiter limiter = new LogRateLimiter(2, 10);
         for (int now = 0; now < 100; now += 5) {
-            assertThat(ration.tryAcquire(now)).isTrue();
+            assertThat(limiter.tryAcquire(now)).isTrue();
         }
-        assertThat(ration.suppressed()).isZero();
+        assertThat(limiter.suppressed()).isZero();
     }
 }
--- a/node/src/main/java/wrenreach/frame/ListFilter.java
+++ b/node/src/main/java/wrenreach/frame/ListFilter.java
@@ -2,8 +2,8 @@
 
 import wrenreach.endpoints.ListUpdate;
 
-/** Decides what of discovery's news goes on to the module, and may add lists of its own ({@link Host#listed}). */
+/** Decides what of discovery's list updates is passed on to the decisions; may add updates of its own ({@link NodeContext#updateEndpoints}). */
 public interface ListFilter {
-    /** What the module is told instead of the line; now: the turn's time in microseconds. */
+    /** The update that the decisions are told in place of discovery's; now: the iteration's time in microseconds. */
     ListUpdate filter(ListUpdate line, long now);
 }
--- a/node/src/main/java/wrenreach/frame/NodeContext.java
+++ b/node/src/main/java/wrenreach/frame/NodeContext.java
@@ -7,35 +7,37 @@
 import wrenreach.net.ReplyHandle;
 import wrenreach.endpoints.ListUpdate;
 
-/** What a subsystem may ask of its node. Only {@link #loop} and {@link #now} may be used from another thread. */
+/** What a node offers to its subsystems. Only {@link #loop} and {@link #now} may be used from other threads than the event loop's. */
 public interface NodeContext {
     /** The node's name. */
     String name();
 
-    /** What the node was told at its start. */
+    /** The settings that the node was started with. */
     Settings settings();
 
-    /** Runs work on the node's loop; what comes after the node has stopped is dropped. */
+    /** Runs work on the node's event loop; work that is submitted after the node has stopped is dropped. */
     Executor loop();
 
-    /** Has work run on the loop after so many microseconds. */
+    /** Runs work on the event loop after a delay in microseconds. */
     void schedule(Runnable work, long delay);
 
-    /** One time that only goes forward, in microseconds. */
+    /** The time of a clock that only goes forward, in microseconds. */
     long now();
 
     /**
-     * Makes ready what a line to come will name for the first time; nothing is listed by it. Guards the loop: a large
-     * list can be made ready in pieces, and takes effect at one stroke.
+     * Prepares for endpoints that an update will name for the first time; they are not listed by this. So a large list can be prepared in
+     * pieces that don't block the event loop, and still takes effect all at once.
      */
     void prepare(List<ListUpdate.Entry> entries);
 
-    /** Tells the module news of the list of endpoints; it bypasses the {@link ListGate}. */
+    /** Tells the decisions an update of the endpoint list; it bypasses the {@link ListFilter}. */
     void updateEndpoints(ListUpdate line);
 
     /**
-     * Hands in a mail as the door does: for a front of another protocol. The answer comes before the turn ends;
-     * lifetimeMs: how long it may still be delivered.
+     * Submits a mail in the same way as the listener port, for subsystems that accept another protocol. The reply comes before the iteration
+     * ends.
+     *
+     * @param lifetimeMs for how long the mail may be delivered, in milliseconds
      */
     void submit(Submission submission, long lifetimeMs, ReplyHandle asker);
 }
--- a/node/src/main/java/wrenreach/frame/RunningSubsystem.java
+++ b/node/src/main/java/wrenreach/frame/RunningSubsystem.java
@@ -4,29 +4,29 @@
 import java.util.function.Consumer;
 
 /**
- * A subsystem that runs in a node. All calls come on the node's loop, which they must not block: slow work goes to a
- * bounded thread of the subsystem's own. In the order of the node's phases: {@link #serving}, {@link #stopping},
- * {@link #stopped}. One that throws is not called again, and the node goes on without it.
+ * A subsystem that runs in a node. All calls are made on the node's event loop, which they must not block: slow work belongs on a bounded thread of the
+ * subsystem's own. The calls follow the node's phases: {@link #serving}, {@link #stopping}, {@link #stopped}.
+ * A subsystem that throws is not called again, and the node goes on without it.
  */
 public interface RunningSubsystem<S extends Record> {
-    /** The node serves: its door is open. */
+    /** The node serves: its listener port is open. */
     default void serving() { }
 
-    /** A planned stop has begun and the door closes: nothing new is handed in from now on. */
+    /** A graceful shutdown has begun and the listener port closes: nothing new is submitted from now on. */
     default void stopping() { }
 
-    /** The node has stopped; what is open is closed. */
+    /** The node has stopped: the subsystem closes what it has open. */
     default void stopped() { }
 
-    /** The section as the operator's file now has it; only what is marked live may differ in effect. */
+    /** The section as it is in the operator's file now; only changes of keys that are marked live may take effect. */
     default void reloaded(S section) { }
 
-    /** Who hears of mails; events come once what they tell is in the journal. */
+    /** The listener for events of mails; an event is delivered once what it tells is recorded in the ledger. */
     default Optional<Consumer<NodeEvent>> eventListener() {
         return Optional.empty();
     }
 
-    /** What stands between discovery and the module; at most one subsystem brings one. */
+    /** The filter between discovery and the decisions; at most one subsystem provides one. */
     default Optional<ListFilter> listFilter() {
         return Optional.empty();
     }
--- a/node/src/main/java/wrenreach/frame/Subsystem.java
+++ b/node/src/main/java/wrenreach/frame/Subsystem.java
@@ -7,12 +7,12 @@
 import wrenreach.operator.Section;
 
 /**
- * A part of the node that the operator's file switches on: found by ServiceLoader, one implementation a subsystem, with
- * a public constructor without arguments. The implementation is only a description; what the subsystem is made of is
- * loaded by {@link #start}, and so never in a node where it is off.
+ * A part of the node that is enabled in the operator's file. Found by ServiceLoader: one implementation for each subsystem, with a public
+ * constructor without arguments. The implementation is only a description; the subsystem's own classes are loaded by {@link #start}, and
+ * so never in a node where it is off.
  */
 public interface Subsystem<S extends Record> {
-    /** The subsystem can't be started; the message is one line for the one who starts the node. */
+    /** The subsystem can't be started; the message is one line for the person who starts the node. */
     final class StartException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -21,29 +21,32 @@
         }
     }
 
-    /** Its table in the operator's file; the name is the subsystem's. */
+    /** Its table in the operator's file; the table's name is the subsystem's name. */
     Section<S> section();
 
-    /** Starts it before the node's loop does anything; it may block for a bounded time. */
-    RunningSubsystem<S> start(S section, NodeContext host) throws StartException;
+    /** Starts it before the node's event loop does anything; may block for a bounded time. */
+    RunningSubsystem<S> start(S section, NodeContext node) throws StartException;
 
     /**
-     * A home for what is owed in place of the journal, on the node's state folder; limit: bytes that it may hold. Called before
-     * the node is made; at most one subsystem brings one.
+     * A ledger that takes the place of the journal, in the node's state folder. Called before the node is created; at most one subsystem
+     * provides one.
+     *
+     * @param state the state folder
+     * @param limit bytes that the folder may hold
      */
     default Optional<Ledger> ledger(S section, Path state, long limit) throws StartException {
         return Optional.empty();
     }
 
     /**
-     * Whether the lab can play it in virtual time: it goes by nothing but its host's loop, clock and settings, has no threads
-     * and no files of its own.
+     * Whether the lab can run it in virtual time: it depends on nothing but its node's event loop, clock and settings, and has no threads and
+     * no files of its own.
      */
     default boolean inVirtualTime() {
         return false;
     }
 
-    /** What it brings to the command line, also where it is off. */
+    /** The commands that it adds to the command line, also where it is off. */
     default List<Command> commands() {
         return List.of();
     }
--- a/node/src/main/java/wrenreach/watch/FileWatch.java
+++ b/node/src/main/java/wrenreach/watch/FileWatch.java
@@ -23,54 +23,64 @@
 import wrenreach.log.LogEvent;
 
 /**
- * Has somebody look whenever a file may have changed: when its folder tells of it, when a link on the way to it does,
- * and slowly in any case, as folders don't tell everything (network file systems, lost events). One thread of its own;
- * looks never overlap. What a look finds unfinished is looked at again soon, for a bounded time.
+ * Calls a handler whenever a file may have changed: when its folder reports a change, when a symbolic link on its path changes, and at a slow
+ * poll interval in any case, as folders don't report every change (network file systems, lost events). Has one thread of its own;
+ * calls never overlap. If the handler finds a file unfinished, it is called again soon, for a bounded time.
  */
 public final class FileWatch implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(FileWatch.class.getName());
-    /** Between two looks at something unfinished: the first, doubling up to the last. */
-    private static final long MIN_RECHECK_MICROS = 5_000, MAX_RECHECK_MICROS = 200_000;
-    /** Links followed on the way to a file, as the system's own limit. */
+    /** Time until an unfinished file is checked again; doubles with each check. */
+    private static final long MIN_RECHECK_MICROS = 5_000;
+    /** The most time between two checks of an unfinished file. */
+    private static final long MAX_RECHECK_MICROS = 200_000;
+    /** The most symbolic links that are followed on the path to a file, the same as the operating system's limit. */
     private static final int MAX_LINKS = 40;
 
-    /** Who looks. */
+    /** What is called when a file may have changed; always on the watch's thread. */
     public interface ChangeHandler {
-        /** Looks; false: something is unfinished, look again soon. */
+        /** A file may have changed, or a poll is due. False: something is unfinished, call again soon. */
         boolean fileChanged();
 
-        /** It has stayed unfinished for the whole time; the next look is when something changes, or a slow one. */
+        /** The file has stayed unfinished for the whole timeout; the next call is made on a change or at the poll interval. */
         void stillUnfinished();
     }
 
     private final Supplier<Collection<Path>> files;
     private final ChangeHandler handler;
+    /** Microseconds. */
     private final long pollInterval;
+    /** Microseconds. */
     private final long unfinishedTimeout;
     private final Thread thread;
+    /** By the folder that each is for. */
     private final Map<Path, WatchKey> watchKeys = new HashMap<>();
+    /** Null: folders can't be watched, and files are only polled. */
     private WatchService watchService;
     private volatile boolean closed;
 
     /**
-     * files: what to watch, asked for before each look; every: microseconds between slow looks; patience: microseconds
-     * for which something unfinished is looked at again. Nothing is done before {@link #start}.
+     * A watch that does nothing before {@link #start}.
+     *
+     * @param name name of its thread
+     * @param files the files to watch, asked for before each call of the handler
+     * @param pollInterval microseconds between calls where no change is reported
+     * @param unfinishedTimeout microseconds for which an unfinished file is checked again soon
      */
-    public FileWatch(String name, Supplier<Collection<Path>> files, long every, long patience, ChangeHandler look) {
+    public FileWatch(String name, Supplier<Collection<Path>> files, long pollInterval, long unfinishedTimeout, ChangeHandler handler) {
         this.files = files;
-        this.handler = look;
-        this.pollInterval = every;
-        this.unfinishedTimeout = patience;
+        this.handler = handler;
+        this.pollInterval = pollInterval;
+        this.unfinishedTimeout = unfinishedTimeout;
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
     }
 
-    /** Looks once and from then on whenever there is cause. */
+    /** Calls the handler once at the start, and from then on whenever a file may have changed. */
     public void start() {
         thread.start();
     }
 
-    /** The look under way ends; there is none after it. */
+    /** Stops the watch: a call that is running goes on to its end, and there is none after it. */
     @Override public void close() {
         closed = true;
         thread.interrupt();
@@ -91,73 +101,73 @@
                     "why", e.getMessage(), "every", pollInterval / 1000);
         }
         long unfinishedSince = -1;
-        long again = MIN_RECHECK_MICROS;
-        boolean gaveUp = false;
+        long recheckDelay = MIN_RECHECK_MICROS;
+        boolean timedOut = false;
         try {
             while (!closed) {
-                // Watch first, look then: what changes in between is seen by the next look.
-                Set<Path> wanted = registerFolders();
+                // The folders are watched before the file is checked: a change in between is reported and leads to another check.
+                Set<Path> entries = registerFolders();
                 boolean finished = handler.fileChanged();
                 long now = System.nanoTime() / 1000;
                 if (finished) {
                     unfinishedSince = -1;
-                    gaveUp = false;
-                    again = MIN_RECHECK_MICROS;
+                    timedOut = false;
+                    recheckDelay = MIN_RECHECK_MICROS;
                 } else if (unfinishedSince < 0) {
                     unfinishedSince = now;
-                } else if (!gaveUp && now - unfinishedSince >= unfinishedTimeout) {
-                    gaveUp = true;
+                } else if (!timedOut && now - unfinishedSince >= unfinishedTimeout) {
+                    timedOut = true;
                     handler.stillUnfinished();
                 }
-                long wait = finished || gaveUp ? pollInterval : Math.min(again, pollInterval);
-                again = finished || gaveUp ? MIN_RECHECK_MICROS : Math.min(2 * again, MAX_RECHECK_MICROS);
-                awaitChange(wait, wanted);
+                long wait = finished || timedOut ? pollInterval : Math.min(recheckDelay, pollInterval);
+                recheckDelay = finished || timedOut ? MIN_RECHECK_MICROS : Math.min(2 * recheckDelay, MAX_RECHECK_MICROS);
+                awaitChange(wait, entries);
             }
         } catch (InterruptedException | ClosedWatchServiceException e) {
-            // Closed: the thread ends.
+            // The watch has been closed: the thread ends.
         } catch (RuntimeException e) {
-            // Guards against a watch that is over without a word.
+            // A watch must not end unnoticed.
             LogEvent.log(LOG, Level.ERROR, e, "watch.ended", "watch: a look failed, nothing is watched any more");
         }
     }
 
-    /** Returns after so many microseconds or once something wanted has changed. */
-    private void awaitChange(long wait, Set<Path> wanted) throws InterruptedException {
-        long until = System.nanoTime() / 1000 + wait;
+    /** Returns after so many microseconds, or as soon as one of the entries has changed. */
+    private void awaitChange(long wait, Set<Path> entries) throws InterruptedException {
+        long end = System.nanoTime() / 1000 + wait;
         if (watchService == null) {
             TimeUnit.MICROSECONDS.sleep(wait);
             return;
         }
-        for (long left = wait; left > 0; left = until - System.nanoTime() / 1000) {
+        for (long left = wait; left > 0; left = end - System.nanoTime() / 1000) {
             WatchKey key = watchService.poll(left, TimeUnit.MICROSECONDS);
-            boolean concerned = false;
+            boolean changed = false;
             for (; key != null; key = watchService.poll()) {
                 Path folder = (Path) key.watchable();
                 for (WatchEvent<?> event : key.pollEvents()) {
-                    concerned |= event.kind() == StandardWatchEventKinds.OVERFLOW
-                            || event.context() instanceof Path name && wanted.contains(folder.resolve(name));
+                    changed |= event.kind() == StandardWatchEventKinds.OVERFLOW
+                            || event.context() instanceof Path name && entries.contains(folder.resolve(name));
                 }
-                concerned |= !key.reset();
+                changed |= !key.reset();
             }
-            if (concerned) {
+            if (changed) {
                 return;
             }
         }
     }
 
-    /** Watches the folders of all entries that lead to the files; those entries. */
+    /** Watches the folders of all entries on the paths to the files, and returns those entries. */
     private Set<Path> registerFolders() {
-        Set<Path> wanted = new LinkedHashSet<>();
-        files.get().forEach(file -> collectEntries(file, wanted));
+        Set<Path> entries = new LinkedHashSet<>();
+        files.get().forEach(file -> collectEntries(file, entries));
         if (watchService == null) {
-            return wanted;
+            return entries;
         }
         Set<Path> folders = new HashSet<>();
-        wanted.forEach(entry -> folders.add(entry.getParent()));
-        watchKeys.entrySet().removeIf(entry -> {
-            boolean gone = !folders.contains(entry.getKey()) || !entry.getValue().isValid();
+        entries.forEach(entry -> folders.add(entry.getParent()));
+        watchKeys.entrySet().removeIf(watched -> {
+            boolean gone = !folders.contains(watched.getKey()) || !watched.getValue().isValid();
             if (gone) {
-                entry.getValue().cancel();
+                watched.getValue().cancel();
             }
             return gone;
         });
@@ -168,43 +178,43 @@
                             StandardWatchEventKinds.ENTRY_MODIFY, StandardWatchEventKinds.ENTRY_DELETE)
                             .toArray(WatchEvent.Kind<?>[]::new)));
                 } catch (IOException e) {
-                    // A folder that is not there (yet): the slow look stands in, and the entry above it is watched.
+                    // The folder does not exist (yet): polling covers it, and the entry above it is watched.
                     continue;
                 }
             }
         }
-        return wanted;
+        return entries;
     }
 
-    /** The entries whose change can make the path lead elsewhere: every link on the way, and what it ends at. */
-    static void collectEntries(Path file, Set<Path> into) {
-        Path rest = file.toAbsolutePath();
+    /** Adds the entries whose change can make the path lead elsewhere: every symbolic link on it, and the entry that it ends at. */
+    static void collectEntries(Path file, Set<Path> entries) {
+        Path path = file.toAbsolutePath();
         for (int links = 0; links <= MAX_LINKS; links++) {
-            Path at = rest.getRoot();
+            Path parent = path.getRoot();
             Path followed = null;
-            for (int i = 0; i < rest.getNameCount() && followed == null; i++) {
-                Path next = at.resolve(rest.getName(i)).normalize();
-                boolean last = i == rest.getNameCount() - 1;
+            for (int i = 0; i < path.getNameCount() && followed == null; i++) {
+                Path next = parent.resolve(path.getName(i)).normalize();
+                boolean last = i == path.getNameCount() - 1;
                 if (Files.isSymbolicLink(next)) {
-                    into.add(next);
+                    entries.add(next);
                     try {
-                        followed = at.resolve(Files.readSymbolicLink(next));
-                        followed = last ? followed : followed.resolve(rest.subpath(i + 1, rest.getNameCount()));
+                        followed = parent.resolve(Files.readSymbolicLink(next));
+                        followed = last ? followed : followed.resolve(path.subpath(i + 1, path.getNameCount()));
                     } catch (IOException e) {
                         return;
                     }
                 } else if (last || !Files.exists(next, LinkOption.NOFOLLOW_LINKS)) {
                     if (next.getParent() != null) {
-                        into.add(next);
+                        entries.add(next);
                     }
                     return;
                 }
-                at = next;
+                parent = next;
             }
             if (followed == null) {
                 return;
             }
-            rest = followed;
+            path = followed;
         }
     }
 }
--- a/node/src/test/java/wrenreach/watch/FileWatchTest.java
+++ b/node/src/test/java/wrenreach/watch/FileWatchTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class FileWatchTest {
-    /** Slow looks are out of the way: only what folders tell brings a look within the tests' time. */
+    /** One hour: within a test's time only changes that a folder reports cause a check. */
     private static final long POLL_INTERVAL_MICROS = 3_600_000_000L;
     @TempDir Path folder;
     private final LinkedBlockingQueue<String> seen = new LinkedBlockingQueue<>();
@@ -51,12 +51,12 @@
         });
     }
 
-    private void switchLink(Path link, Path to) throws IOException {
-        Path next = Files.createSymbolicLink(folder.resolve("next"), to);
+    private void switchLink(Path link, Path target) throws IOException {
+        Path next = Files.createSymbolicLink(folder.resolve("next"), target);
         Files.move(next, link, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Guards against lists in folders that a link leads to, as many tools swap them: one flip changes all at once. */
+    /** Many tools replace lists by switching a symbolic link to another folder, which changes all files at once: that must be noticed. */
     @Test void switchedLinkOnThePathIsNoticed() throws Exception {
         Path one = Files.createDirectory(folder.resolve("one"));
         Path two = Files.createDirectory(folder.resolve("two"));
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Guards against a writer that is slow and one that never ends: looked at again soon, then told once. */
+    /** A slow writer, and one that never finishes: an unfinished file is checked again soon, and reported once after the timeout. */
     @Test void unfinishedFileIsRecheckedAndReportedOnce() throws Exception {
         Path file = Files.writeString(folder.resolve("list"), "half");
         try (FileWatch watch = newWatch(file)) {
