--- a/node/src/main/java/wrenreach/endpoints/EndpointTable.java
+++ b/node/src/main/java/wrenreach/endpoints/EndpointTable.java
@@ -577,7 +577,7 @@
         /** The column of the chunk that chains the rows of a bucket. */
         abstract int[] next(Chunk chunk);
 
-        /** The first row of the key's bucket, which may hold rows of other keys too. */
+        /** The first row of the key's bucket, which may hold rows of other keys too. The lowest 6 bits of the hash select the part, the others the bucket. */
         final int firstRow(int key) {
             int hash = mix(key);
             int[] buckets = firstRows[hash & INDEX_PARTS - 1];
@@ -615,6 +615,7 @@
             return mix(key(chunkOf(row), row & CHUNK_MASK));
         }
 
+        /** Spreads similar keys over parts and buckets. */
         private int mix(int key) {
             int hash = key * 0x9E3779B9;
             return hash ^ hash >>> 15;
--- a/node/src/main/java/wrenreach/endpoints/ListLog.java
+++ b/node/src/main/java/wrenreach/endpoints/ListLog.java
@@ -169,7 +169,7 @@
                 }
                 lineStart = i + 1;
             }
-            // The rest of the buffer is the beginning of a line. No line of ours fills the whole buffer: one that does ends the reading.
+            // The rest of the buffer is the beginning of a line. One that fills the whole buffer is taken for damage and ends the reading.
             System.arraycopy(buffer, lineStart, buffer, 0, buffered - lineStart);
             bufferOffset += lineStart;
             buffered -= lineStart;
--- a/node/src/main/java/wrenreach/held/Journal.java
+++ b/node/src/main/java/wrenreach/held/Journal.java
@@ -40,7 +40,7 @@
     private static final double OUTSTANDING_SHARE = 0.4;
     /**
      * Share of the folder's limit that is reserved for a full disk. It has to hold the attempts and endings of the outstanding mails for the
-     * seconds in which others fill the disk: some hundred bytes a mail, and more mails the larger the folder.
+     * seconds in which others fill the disk: some hundred bytes a mail; it is larger the larger the folder is.
      */
     private static final double RESERVED_SHARE = 0.01;
 
@@ -135,6 +135,7 @@
     }
 
     @Override public boolean fits(int bodyBytes, int before, int attempts) {
+        // A mail is reckoned as its body and 128 bytes, and 128 more bytes for each attempt.
         return reservedSpace.reserved() && outstandingBytes + (1L + before) * (bodyBytes + (1 + attempts) * 128L) <= outstandingLimit;
     }
 
