--- a/node/src/main/java/wrenreach/net/AcceptFaults.java
+++ b/node/src/main/java/wrenreach/net/AcceptFaults.java
@@ -8,26 +8,28 @@
 import wrenreach.log.LogRateLimiter;
 
 /**
- * Accepts again within milliseconds after an accept has failed. Netty by itself lets a listener rest for a second then, in which
- * clients that wait are not served; without any pause a shortage of descriptors would spin the loop.
+ * Resumes accepting connections a few milliseconds after an accept has failed. By itself Netty suspends a listener for a second then,
+ * in which waiting clients are not served; without any pause a shortage of descriptors would make the loop spin.
  */
 final class AcceptFaults extends ChannelInboundHandlerAdapter {
     private static final System.Logger LOG = System.getLogger(AcceptFaults.class.getName());
+    /** How long accepting is suspended after a failure. */
     private static final long ACCEPT_PAUSE_MS = 5;
-    /** Lines in that time, in microseconds; the rest is counted. */
+    /** Log lines in each window; further failures are only counted. */
     private static final int MAX_LOG_LINES = 3;
+    /** Length of that window, in microseconds. */
     private static final long LOG_WINDOW_US = 10_000_000;
 
     private final LogRateLimiter logLimiter = new LogRateLimiter(MAX_LOG_LINES, LOG_WINDOW_US);
     private boolean paused;
 
-    /** Not passed on: the handler behind this one is the one that rests for a second. */
+    /** Doesn't pass the failure on: the next handler is Netty's, which suspends the listener for a second. */
     @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         long now = context.channel().eventLoop().ticker().nanoTime() / 1000;
         if (logLimiter.tryAcquire(now)) {
-            int unlisted = logLimiter.suppressed();
+            int suppressed = logLimiter.suppressed();
             LogEvent.log(LOG, Level.WARNING, "accept.failed", "a connection of a client can't be accepted: {why}{more}", "why",
-                    cause.getMessage(), "more", unlisted == 0 ? "" : "; " + unlisted + " more before it are not listed");
+                    cause.getMessage(), "more", suppressed == 0 ? "" : "; " + suppressed + " more before it are not listed");
         }
         if (paused) {
             return;
--- a/node/src/main/java/wrenreach/net/Addresses.java
+++ b/node/src/main/java/wrenreach/net/Addresses.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as config and discovery word them. There is no name service: hosts are given as numbers. */
+/** Conversion of addresses to and from the form used by the config and discovery. Hosts are numeric: there is no name service. */
 public final class Addresses {
     private Addresses() { }
 
@@ -14,7 +14,7 @@
         return NetUtil.toSocketAddressString(address);
     }
 
-    /** Reads host:port; IllegalArgumentException where it is none. */
+    /** Parses host:port; throws IllegalArgumentException where it is malformed. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/node/src/main/java/wrenreach/net/Backoff.java
+++ b/node/src/main/java/wrenreach/net/Backoff.java
@@ -3,36 +3,37 @@
 import java.util.SplittableRandom;
 
 /**
- * Pauses between tries of something that fails, in milliseconds: they double from the first up to the longest, and of
- * each a half is by chance. Guards what many nodes ask against tries in step after a failure that met them all.
+ * Exponential backoff with jitter, in milliseconds: delays double from the initial one up to a maximum, and half of each is random.
+ * Without the jitter many nodes would retry in step after a failure that affected all of them.
  */
 final class Backoff {
+    /** Bounds the shift of {@link #scaledTimeout}, which would overflow after many failures. */
     private static final int MAX_DOUBLINGS = 16;
     private final long initialMs;
     private final long maxMs;
     private final SplittableRandom random;
     private int failures;
 
-    /** first: at least 2; longest: at least as long. */
-    Backoff(long first, long longest, long seed) {
-        this.initialMs = first;
-        this.maxMs = longest;
+    /** initialMs: at least 2; maxMs: at least as long; seed: of the random half. */
+    Backoff(long initialMs, long maxMs, long seed) {
+        this.initialMs = initialMs;
+        this.maxMs = maxMs;
         random = new SplittableRandom(seed);
     }
 
-    /** The pause after one more failure: between half of the doubled one and all of it. */
+    /** The delay after one more failure: between half of the doubled delay and all of it. */
     long nextDelay() {
-        long whole = scaledTimeout(initialMs, maxMs);
+        long delay = scaledTimeout(initialMs, maxMs);
         failures++;
-        return whole / 2 + random.nextLong(whole - whole / 2 + 1);
+        return delay / 2 + random.nextLong(delay - delay / 2 + 1);
     }
 
-    /** A patience that grows as the pauses do, up to this most, so that a slow answer is not thrown away each time. */
-    long scaledTimeout(long patience, long most) {
-        return Math.min(most, patience << Math.min(failures, MAX_DOUBLINGS));
+    /** A timeout that grows as the delays do, up to a maximum, so that a slow answer isn't discarded on every try. */
+    long scaledTimeout(long timeout, long max) {
+        return Math.min(max, timeout << Math.min(failures, MAX_DOUBLINGS));
     }
 
-    /** It worked: the next pause is the first again. */
+    /** Starts over from the initial delay, after a success. */
     void reset() {
         failures = 0;
     }
--- a/node/src/main/java/wrenreach/net/CallCodec.java
+++ b/node/src/main/java/wrenreach/net/CallCodec.java
@@ -12,18 +12,21 @@
 import wrenreach.api.Outcome;
 import wrenreach.held.Submission;
 
-/** The form of a call on the wire. */
+/** Encodes a call as an HTTP request and decodes the response. */
 final class CallCodec {
+    /** Longer waits that a receiver tells are cut to one day. */
     private static final long MAX_RETRY_AFTER_MS = 86_400_000;
+    /** A load report with a larger value is ignored. */
     private static final double MAX_REPORTED_VALUE = 1e6;
 
     private final List<String> reportNames;
 
-    /** reportNames: the figures of a load report, in the order of the settings. */
+    /** reportNames: the names of the values in a load report, in the order of the settings. */
     CallCodec(List<String> reportNames) {
         this.reportNames = reportNames;
     }
 
+    /** The request of a call; budgetMs: how long the node waits for the response, in milliseconds. */
     static FullHttpRequest encode(Submission mail, String host, long budgetMs) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/events",
                 Unpooled.wrappedBuffer(mail.body()));
@@ -47,7 +50,7 @@
             case 503 -> new CallResult("1".equals(response.headers().get("Slots-Taken")) ? new Outcome.NotSent(true)
                     : new Outcome.Rejected(0), report, false, true);
             case 504 -> new CallResult(new Outcome.NotSent(false), report, false, true);
-            // Guards against what no page names: it may have run.
+            // A status that the protocol doesn't name: the mail may have taken effect.
             default -> new CallResult(new Outcome.ServerError(), report, false, false);
         };
     }
@@ -60,7 +63,7 @@
         }
     }
 
-    /** The figures in the settings' order; none where the answer holds no report that can be read. */
+    /** The values in the order of the settings; empty where there is no report, or one that can't be read whole. */
     double[] parseLoadReport(String text) {
         if (text == null || reportNames.isEmpty()) {
             return new double[0];
@@ -70,15 +73,15 @@
         try {
             for (String pair : text.split(",")) {
                 int equals = pair.indexOf('=');
-                int at = equals < 0 ? -1 : reportNames.indexOf(pair.substring(0, equals).strip());
-                if (at >= 0) {
-                    report[at] = Double.parseDouble(pair.substring(equals + 1).strip());
+                int index = equals < 0 ? -1 : reportNames.indexOf(pair.substring(0, equals).strip());
+                if (index >= 0) {
+                    report[index] = Double.parseDouble(pair.substring(equals + 1).strip());
                 }
             }
         } catch (NumberFormatException e) {
             return new double[0];
         }
-        // Guards the decisions against spoilt figures: rates and shares are not negative, and no rate is that high.
-        return Arrays.stream(report).allMatch(figure -> figure >= 0 && figure <= MAX_REPORTED_VALUE) ? report : new double[0];
+        // Keeps implausible values from the decisions: rates and shares are not negative, and no rate is that high.
+        return Arrays.stream(report).allMatch(value -> value >= 0 && value <= MAX_REPORTED_VALUE) ? report : new double[0];
     }
 }
--- a/node/src/main/java/wrenreach/net/Calls.java
+++ b/node/src/main/java/wrenreach/net/Calls.java
@@ -35,45 +35,51 @@
 import wrenreach.state.Route;
 
 /**
- * Calls to endpoints and the connections that carry them, one call at a time each. A call is staged until the
- * turn's records are written; what must not go out any more by then never does.
+ * HTTP calls to endpoints and their pooled connections; a connection carries one call at a time. A call is staged until the
+ * records of its iteration are written; one that may no longer be sent by then is dropped. Owned by the event loop.
  */
 public final class Calls {
     private static final System.Logger LOG = System.getLogger(Calls.class.getName());
-    /** Part of the settings' idle time after which a connection is given up, before the other side does. */
+    /** Share of the idle time in the settings after which a connection is closed, so that it closes before the receiver does it. */
     private static final double IDLE_TIMEOUT_FACTOR = 0.9;
-    /** The protocol's limit of a body, and how long an answer may take from its first line to its last byte. */
+    /** The protocol's limit for the body of a response. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** How long a response may take from its status line to its last byte. */
     private static final long RESPONSE_BODY_TIMEOUT_MS = 500;
-    /** How long one line on answers that can't be read stands for those that follow. */
+    /** Least time between two log lines on unreadable responses, in microseconds; those in between are only counted. */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
-    /** What the calls report. */
+    /** Provides the time of the iteration and receives the outcomes of attempts. All methods run on the event loop. */
     public interface Host {
-        /** The time of the turn. */
+        /** Begins an iteration if none is running; its time in microseconds. */
         long iterationTime();
 
-        /** How long ago the turn began, in microseconds: what is read now came later than {@link #turn} by this much. */
+        /** Microseconds since the iteration began: data read now arrived later than {@connection #iterationTime} by this much. */
         long iterationAge();
 
-        /** A connect ended. */
-        void attemptEnded(HeldMail held, DeliveryAttempt connect, Outcome outcome, double[] report, boolean over);
+        /**
+         * An attempt ended.
+         *
+         * @param report the values of the load report in the order of the settings, empty where there is none
+         * @param completed whether nothing is outstanding for the mail any more
+         */
+        void attemptEnded(HeldMail held, DeliveryAttempt attempt, Outcome outcome, double[] report, boolean completed);
 
-        /** Whether the mail's turn is held up by an ending that the platform has not heard yet. */
+        /** Whether the mail has to wait for an earlier one whose ending the platform hasn't acknowledged yet. */
         boolean isBlocked(HeldMail held);
 
-        /** The call's bytes go out next. */
-        void beforeSend(HeldMail held, DeliveryAttempt connect);
+        /** The bytes of the attempt are written next: its record has to be written before them. */
+        void beforeSend(HeldMail held, DeliveryAttempt attempt);
     }
 
-    /** Where an endpoint listens and its connections that stand idle, latest used last. */
+    /** The address of an endpoint and its idle connections, the most recently used last. */
     private static final class ConnectionPool {
         InetSocketAddress address;
         boolean removed;
         final Deque<Connection> idleConnections = new ArrayDeque<>(4);
     }
 
-    /** One call under way. */
+    /** A call in flight. */
     private static final class PendingCall {
         final HeldMail heldMail;
         final DeliveryAttempt attempt;
@@ -81,9 +87,9 @@
         DelayedTask timeout;
         boolean ended;
 
-        PendingCall(HeldMail held, DeliveryAttempt connect) {
-            this.heldMail = held;
-            this.attempt = connect;
+        PendingCall(HeldMail heldMail, DeliveryAttempt attempt) {
+            this.heldMail = heldMail;
+            this.attempt = attempt;
         }
     }
 
@@ -102,21 +108,27 @@
     private int unreadableResponses;
     private long nextLogAt;
 
-    /** Times in microseconds; idleLimit: connections that may stand idle. */
-    public Calls(EventLoop loop, ChannelFactory<? extends Channel> connecting, Host host, List<String> reportNames,
-                 long idleFor, long connectTimeout, int idleLimit) {
+    /**
+     * Times in microseconds.
+     *
+     * @param idleTimeout 0: idle connections are not closed by time
+     * @param tcpConnectTimeout 0: the default of 30 s
+     * @param maxIdleConnections idle connections kept open, over all endpoints
+     */
+    public Calls(EventLoop loop, ChannelFactory<? extends Channel> channelFactory, Host host, List<String> reportNames,
+                 long idleTimeout, long tcpConnectTimeout, int maxIdleConnections) {
         this.loop = loop;
         this.host = host;
         this.codec = new CallCodec(reportNames);
-        this.idleTimeoutUs = idleFor > 0 ? (long) (idleFor * IDLE_TIMEOUT_FACTOR) : Long.MAX_VALUE;
-        this.maxIdleConnections = idleLimit;
-        connector = new Connector(loop, new Bootstrap().channelFactory(connecting)
+        this.idleTimeoutUs = idleTimeout > 0 ? (long) (idleTimeout * IDLE_TIMEOUT_FACTOR) : Long.MAX_VALUE;
+        this.maxIdleConnections = maxIdleConnections;
+        connector = new Connector(loop, new Bootstrap().channelFactory(channelFactory)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                        connectTimeout > 0 ? (int) Math.max(1, connectTimeout / 1000) : 30_000), "attempts");
+                        tcpConnectTimeout > 0 ? (int) Math.max(1, tcpConnectTimeout / 1000) : 30_000), "attempts");
     }
 
-    /** Where the endpoint listens from now on. */
+    /** Sets the address that the endpoint listens on. Idle connections to a former one are closed. */
     public void setAddress(Endpoint endpoint, InetSocketAddress address) {
         ConnectionPool pool = pools.computeIfAbsent(endpoint, e -> new ConnectionPool());
         if (!address.equals(pool.address)) {
@@ -125,12 +137,12 @@
         }
     }
 
-    /** Drops all but these endpoints; their idle connections close, and those in use do so after their call. */
+    /** Removes all endpoints but these; idle connections of the others close at once, those in use after their call. */
     public void retainOnly(Set<Endpoint> listed) {
         pools.keySet().stream().filter(endpoint -> !listed.contains(endpoint)).toList().forEach(this::remove);
     }
 
-    /** Drops one endpoint: its idle connections close, and those in use do so after their call. */
+    /** Removes an endpoint: its idle connections close at once, those in use after their call. */
     public void remove(Endpoint endpoint) {
         ConnectionPool pool = pools.remove(endpoint);
         if (pool != null) {
@@ -139,22 +151,23 @@
         }
     }
 
+    /** How many calls have begun and not ended. */
     public int inFlight() {
         return inFlightCalls.size();
     }
 
-    /** Makes a connect: over an idle connection, else a new one. */
-    public void send(HeldMail held, DeliveryAttempt connect) {
-        PendingCall call = new PendingCall(held, connect);
-        inFlightCalls.put(connect, call);
-        ConnectionPool pool = pools.get(connect.endpoint);
-        Connection link = pool == null ? null : pool.idleConnections.pollLast();
-        call.timeout = DelayedTask.schedule(loop, connect.timeoutAt - host.iterationTime(), () -> timeOut(call));
-        if (link != null) {
-            idleConnections.remove(link);
-            link.cancelIdleTimeout();
-            connect.reusedConnection = true;
-            stage(link, call);
+    /** Begins an attempt: on an idle connection, or else on a new one. Its bytes are written by a later {@link #flush}. */
+    public void send(HeldMail held, DeliveryAttempt attempt) {
+        PendingCall call = new PendingCall(held, attempt);
+        inFlightCalls.put(attempt, call);
+        ConnectionPool pool = pools.get(attempt.endpoint);
+        Connection connection = pool == null ? null : pool.idleConnections.pollLast();
+        call.timeout = DelayedTask.schedule(loop, attempt.timeoutAt - host.iterationTime(), () -> timeOut(call));
+        if (connection != null) {
+            idleConnections.remove(connection);
+            connection.cancelIdleTimeout();
+            attempt.reusedConnection = true;
+            stage(connection, call);
         } else if (pool == null || pool.address == null) {
             loop.execute(() -> end(call, new Outcome.ConnectFailed()));
         } else {
@@ -163,86 +176,87 @@
     }
 
     private void openConnection(ConnectionPool pool, PendingCall call) {
-        Connection link = new Connection(pool);
-        link.call = call;
-        call.connection = link;
-        link.channel = connector.open(pool.address, new ChannelInitializer<Channel>() {
+        Connection connection = new Connection(pool);
+        connection.call = call;
+        call.connection = connection;
+        connection.channel = connector.open(pool.address, new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(link.statusDecoder, new HttpObjectAggregator(MAX_BODY_BYTES),
-                        new HttpRequestEncoder(), link);
+                channel.pipeline().addLast(connection.statusDecoder, new HttpObjectAggregator(MAX_BODY_BYTES),
+                        new HttpRequestEncoder(), connection);
             }
         }, new Connector.Listener() {
             @Override public void connected(Channel channel) {
                 if (!call.ended) {
                     host.iterationTime();
-                    stage(link, call);
+                    stage(connection, call);
                 }
             }
 
-            @Override public void failed(boolean ofThisMachine) {
-                end(call, ofThisMachine ? new Outcome.LocalFault() : new Outcome.ConnectFailed());
+            @Override public void failed(boolean local) {
+                end(call, local ? new Outcome.LocalFault() : new Outcome.ConnectFailed());
             }
         });
     }
 
-    private void stage(Connection link, PendingCall call) {
-        link.call = call;
-        link.written = false;
-        call.connection = link;
+    private void stage(Connection connection, PendingCall call) {
+        connection.call = call;
+        connection.written = false;
+        call.connection = connection;
         stagedCalls.add(call);
     }
 
-    /** The module has heard a told wait: nothing unwritten goes to this route before it is over. */
+    /** A receiver has told a retry-after wait: no unsent call goes to this route before it is over. */
     private void setRetryAfter(Route route, long until) {
-        retryAfterUntil.values().removeIf(passed -> passed <= host.iterationTime());
+        retryAfterUntil.values().removeIf(instant -> instant <= host.iterationTime());
         retryAfterUntil.merge(route, until, Math::max);
     }
 
     /**
-     * Before the module decides: ends staged calls that must not be written any more. Guards drains and told
-     * waits that came in, repeats whose window ended, and addresses that passed to another endpoint, while the connection
-     * was being made.
+     * Before the decisions run: ends staged calls that may no longer be written. While their connection was being made, their
+     * endpoint may have begun to drain or its receiver may have told a wait, the deduplication window of a repeat may have
+     * ended, or the address may have passed to another endpoint.
      */
     public void dropDisallowed() {
         long now = host.iterationTime();
         for (PendingCall call : List.copyOf(stagedCalls)) {
             Endpoint endpoint = call.attempt.endpoint;
-            if (!endpoint.ready || call.connection.hasFormerAddress() || call.attempt.sendDeadline < now || retryAfterUntil.getOrDefault(endpoint.route, Long.MIN_VALUE) > now) {
-                Connection link = call.connection;
+            if (!endpoint.ready || call.connection.hasFormerAddress() || call.attempt.sendDeadline < now
+                    || retryAfterUntil.getOrDefault(endpoint.route, Long.MIN_VALUE) > now) {
+                Connection connection = call.connection;
                 end(call, new Outcome.NotSent(false));
-                link.becomeIdle();
+                connection.becomeIdle();
             }
         }
     }
 
-    /** Before the turn's records are written: names each call whose bytes go out after them. */
+    /** Before the records of the iteration are written: picks the calls whose bytes go out after them and tells the host of each. */
     public void prepareWrites() {
-        List<PendingCall> kept = new ArrayList<>();
+        List<PendingCall> blocked = new ArrayList<>();
         for (PendingCall call : stagedCalls) {
             if (host.isBlocked(call.heldMail)) {
-                kept.add(call);
+                blocked.add(call);
             } else {
                 host.beforeSend(call.heldMail, call.attempt);
                 preparedCalls.add(call);
             }
         }
-        stagedCalls = kept;
+        stagedCalls = blocked;
     }
 
-    /** What was chosen does not go out after all: it is staged again, and each is told to taken. */
-    public void undoPreparedWrites(BiConsumer<HeldMail, DeliveryAttempt> taken) {
-        List<PendingCall> chosen = List.copyOf(preparedCalls);
+    /** Stages the prepared calls again, as they don't go out after all, and passes each to the given consumer. */
+    public void undoPreparedWrites(BiConsumer<HeldMail, DeliveryAttempt> onUndone) {
+        List<PendingCall> prepared = List.copyOf(preparedCalls);
         preparedCalls.clear();
-        stagedCalls.addAll(0, chosen);
-        chosen.forEach(call -> taken.accept(call.heldMail, call.attempt));
+        stagedCalls.addAll(0, prepared);
+        prepared.forEach(call -> onUndone.accept(call.heldMail, call.attempt));
     }
 
-    /** Writes the chosen calls. */
+    /** Writes the prepared calls; now: the time in microseconds that their remaining time is counted from. */
     public void flush(long now) {
-        // Guards against second copies: whatever happens while they are written, none is written again.
-        List<PendingCall> chosen = List.copyOf(preparedCalls);
+        // The list is cleared before the writes, so that nothing that happens during them makes a call go out twice.
+        List<PendingCall> prepared = List.copyOf(preparedCalls);
         preparedCalls.clear();
-        for (PendingCall call : chosen) {
+        for (PendingCall call : prepared) {
             if (!call.ended) {
                 write(call, Math.max(0, (call.attempt.timeoutAt - now) / 1000));
             }
@@ -250,39 +264,39 @@
     }
 
     private void write(PendingCall call, long budgetMs) {
-        Connection link = call.connection;
-        String host = Addresses.format(link.address);
-        link.expectResponse();
-        link.channel.writeAndFlush(CallCodec.encode(call.heldMail.submission, host, budgetMs)).addListener(done -> {
-            link.written = done.isSuccess();
+        Connection connection = call.connection;
+        String hostHeader = Addresses.format(connection.address);
+        connection.expectResponse();
+        connection.channel.writeAndFlush(CallCodec.encode(call.heldMail.submission, hostHeader, budgetMs)).addListener(done -> {
+            connection.written = done.isSuccess();
             if (!done.isSuccess()) {
-                // Closing a connection fails its unfinished write at once, in the middle of whoever closes it.
-                loop.execute(() -> writeFailed(link, call));
+                // Closing a connection fails its unfinished write at once, from within the code that closes it: handled in a task of its own.
+                loop.execute(() -> writeFailed(connection, call));
             }
         });
     }
 
-    private void writeFailed(Connection link, PendingCall call) {
-        link.close();
+    private void writeFailed(Connection connection, PendingCall call) {
+        connection.close();
         end(call, new Outcome.ConnectFailed());
     }
 
     private void timeOut(PendingCall call) {
         boolean written = call.connection != null && call.connection.written;
-        boolean waits = stagedCalls.contains(call);
+        boolean unsent = stagedCalls.contains(call);
         detach(call);
         end(call, isRelayed(call) ? new Outcome.Delivered() : written ? new Outcome.TimedOut()
-                : waits ? new Outcome.NotSent(false) : new Outcome.ConnectFailed());
+                : unsent ? new Outcome.NotSent(false) : new Outcome.ConnectFailed());
     }
 
-    /** Guards against sending again what was relayed: a first line with 200 is true, whatever follows it. */
+    /** Whether the response began with status 200, which holds whatever follows it: without this a relayed mail would be sent again. */
     private static boolean isRelayed(PendingCall call) {
         return call.connection != null && call.connection.statusDecoder.status() == 200;
     }
 
-    /** Stops waiting for a connect; its outcome is reported in a later turn. */
-    public void cancel(DeliveryAttempt connect) {
-        PendingCall call = inFlightCalls.get(connect);
+    /** Stops waiting for an attempt; its outcome is reported by a later task of the loop. */
+    public void cancel(DeliveryAttempt attempt) {
+        PendingCall call = inFlightCalls.get(attempt);
         if (call != null) {
             detach(call);
             loop.execute(() -> end(call, isRelayed(call) ? new Outcome.Delivered()
@@ -302,7 +316,7 @@
         end(call, new CallResult(outcome, new double[0], outcome instanceof Outcome.Delivered, true));
     }
 
-    private void end(PendingCall call, CallResult answer) {
+    private void end(PendingCall call, CallResult result) {
         if (call.ended) {
             return;
         }
@@ -314,16 +328,16 @@
             call.connection.call = null;
         }
         long now = host.iterationTime();
-        Outcome outcome = answer.outcome();
-        if (outcome instanceof Outcome.Rejected full && full.retryAfter() > 0) {
-            // Guards the told wait in a long turn, as at a start: it runs from when the answer came, not from the turn.
-            outcome = new Outcome.Rejected(full.retryAfter() + host.iterationAge());
-            setRetryAfter(call.attempt.endpoint.route, now + full.retryAfter() + host.iterationAge());
+        Outcome outcome = result.outcome();
+        if (outcome instanceof Outcome.Rejected rejected && rejected.retryAfter() > 0) {
+            // The wait runs from when the response came. Counted from the start of a long iteration, as at a start, it would end too early.
+            outcome = new Outcome.Rejected(rejected.retryAfter() + host.iterationAge());
+            setRetryAfter(call.attempt.endpoint.route, now + rejected.retryAfter() + host.iterationAge());
         }
-        host.attemptEnded(call.heldMail, call.attempt, outcome, answer.loadReport(), answer.completed());
+        host.attemptEnded(call.heldMail, call.attempt, outcome, result.loadReport(), result.completed());
     }
 
-    /** Gives the idle connections to this endpoint back. */
+    /** Closes the idle connections to this endpoint. */
     public void closeIdle(Endpoint endpoint) {
         ConnectionPool pool = pools.get(endpoint);
         if (pool != null) {
@@ -331,7 +345,7 @@
         }
     }
 
-    /** Ends every call whose bytes are not out: at a planned stop nothing new goes out. */
+    /** Ends every call whose bytes are not written: during a graceful shutdown nothing new is sent. */
     public void dropUnsent() {
         for (PendingCall call : new ArrayList<>(inFlightCalls.values())) {
             if (call.connection == null || !call.connection.written) {
@@ -341,7 +355,7 @@
         }
     }
 
-    /** Guards the log: an endpoint that spoils many answers makes one line in a while. */
+    /** Logs unreadable responses at a limited rate, so that an endpoint that sends many of them doesn't flood the log. */
     private void logUnreadable(ConnectionPool pool, String why) {
         unreadableResponses++;
         if (host.iterationTime() >= nextLogAt) {
@@ -351,7 +365,7 @@
         }
     }
 
-    /** One connection. */
+    /** A connection to an endpoint. It is either idle, or carries one call. */
     private final class Connection extends SimpleChannelInboundHandler<Object> {
         final ConnectionPool pool;
         final InetSocketAddress address;
@@ -369,12 +383,12 @@
             address = pool.address;
         }
 
-        /** Whether its endpoint is listed elsewhere by now: another one may listen here. */
+        /** Whether its endpoint has another address by now: another endpoint may listen here. */
         boolean hasFormerAddress() {
             return !address.equals(pool.address);
         }
 
-        /** Each answer is read by a decoder of its own: what one leaves unread can't get into the next. */
+        /** Adds a new decoder for each response, so that bytes that one leaves unread do not get into the next response. */
         void expectResponse() {
             decoder = new HttpResponseDecoder();
             channel.pipeline().addAfter(channel.pipeline().context(statusDecoder).name(), null, decoder);
@@ -392,20 +406,20 @@
                 closeUnreadable(response.decoderResult().cause().getMessage());
             } else if (call != null) {
                 keepAlive = HttpUtil.isKeepAlive(response);
-                CallResult answer = codec.decode(response);
-                if (!answer.readable()) {
+                CallResult result = codec.decode(response);
+                if (!result.readable()) {
                     logUnreadable(pool, "status " + response.status().code());
                 }
-                end(call, answer);
+                end(call, result);
                 statusDecoder.responseEnded();
                 bodyTimeout.cancel();
-                // What follows the answer comes out here, and closes the connection.
+                // Removing the decoder passes on the bytes after the response, if any, and those close the connection.
                 channel.pipeline().remove(decoder);
                 becomeIdle();
             }
         }
 
-        /** The connection serves no further use. An answer counts only whole, unless its first line says 200. */
+        /** Closes a connection after a malformed response. A response counts only whole, unless its status line says 200. */
         private void closeUnreadable(String why) {
             logUnreadable(pool, why);
             close();
@@ -419,7 +433,7 @@
             }
         }
 
-        /** Nothing is out on the connection any more. */
+        /** The connection carries no call any more: it is pooled, or closed where it may not be reused. */
         void becomeIdle() {
             call = null;
             if (!keepAlive || !channel.isActive() || maxIdleConnections == 0 || pool.removed || hasFormerAddress()) {
--- a/node/src/main/java/wrenreach/net/ClosedConnections.java
+++ b/node/src/main/java/wrenreach/net/ClosedConnections.java
@@ -8,12 +8,12 @@
 import wrenreach.log.LogEvent;
 
 /**
- * Counts why client connections were closed and tells of it in one line a while: nobody outside can flood the log by connecting.
+ * Counts closed client connections by reason and logs the counts at most every 10 s, so that nobody can flood the log by connecting.
  * Owned by the event loop.
  */
 final class ClosedConnections {
     private static final System.Logger LOG = System.getLogger(ClosedConnections.class.getName());
-    /** Between two lines, in microseconds. */
+    /** Least time between two log lines, in microseconds. */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
     /** Why a connection was closed. */
@@ -22,13 +22,13 @@
         CLOSED_BY_CLIENT,
         /** A read or write of it failed. */
         BROKEN,
-        /** It was idle for longer than it may be. */
+        /** It exceeded the idle timeout. */
         IDLE,
-        /** A request was not whole in time. */
+        /** A request was not complete in time. */
         REQUEST_TOO_SLOW,
-        /** What came is no request, or too large. */
+        /** The input was not a request, or too large. */
         UNREADABLE,
-        /** There are more connections than may be kept; it was unused for longest. */
+        /** There were more connections than may be kept, and this one was unused for the longest time. */
         TOO_MANY_CONNECTIONS,
         /** The node shuts down. */
         SHUTDOWN
@@ -38,7 +38,7 @@
     private final Map<Reason, Integer> totalCounts = new EnumMap<>(Reason.class);
     private long nextLogAt;
 
-    /** One was closed; now: microseconds of the loop's clock; unanswered: requests that were read on it and have no answer. */
+    /** Counts a closed connection; unanswered: requests read on it that got no reply; now: microseconds of the loop's ticker. */
     void count(Reason reason, int unanswered, long now) {
         countsSinceLastLine.merge(reason, 1, Integer::sum);
         totalCounts.merge(reason, 1, Integer::sum);
@@ -48,14 +48,14 @@
         }
         if (now >= nextLogAt) {
             nextLogAt = now + LOG_INTERVAL_US;
-            String told = countsSinceLastLine.entrySet().stream().map(one -> one.getKey().name().toLowerCase(Locale.ROOT) + " " + one.getValue())
+            String reasons = countsSinceLastLine.entrySet().stream().map(entry -> entry.getKey().name().toLowerCase(Locale.ROOT) + " " + entry.getValue())
                     .collect(Collectors.joining(", "));
-            LogEvent.log(LOG, Level.INFO, "client.closed", "client connections closed since the line before: {reasons}", "reasons", told);
+            LogEvent.log(LOG, Level.INFO, "client.closed", "client connections closed since the line before: {reasons}", "reasons", reasons);
             countsSinceLastLine.clear();
         }
     }
 
-    /** How many were closed for this reason since the start. */
+    /** Connections closed for this reason since the start of the process. */
     int total(Reason reason) {
         return totalCounts.getOrDefault(reason, 0);
     }
--- a/node/src/main/java/wrenreach/net/Connector.java
+++ b/node/src/main/java/wrenreach/net/Connector.java
@@ -16,25 +16,26 @@
 import wrenreach.log.LogRateLimiter;
 
 /**
- * Opens outgoing connections and reports what came of each on the event loop, never from within the call that asked; a failure in a
- * task of its own.
+ * Opens outgoing connections and reports the result of each on the event loop, never from within {@link #open}; a failure always in
+ * a task of its own.
  *
- * <p>Netty reports a connection whose socket can't be made (ENFILE, ENOBUFS) on a thread that is not the loop's, and may report other
- * failures before the call that asked has returned. Either way state that the loop owns would be changed in the middle of an
- * iteration. Nothing but this class may listen to the future of a connect.
+ * <p>Netty reports a connection whose socket can't be created (ENFILE, ENOBUFS) on a thread other than the loop's, and may report other
+ * failures before {@link #open} has returned. Either way state that the loop owns would change in the middle of
+ * an iteration. Nothing but this class may listen to the future of a TCP connect.
  */
 final class Connector {
     private static final System.Logger LOG = System.getLogger(Connector.class.getName());
-    /** Lines on failures of the own machine in that time, in microseconds; the rest is counted. */
+    /** Log lines on local failures in each window; further ones are only counted. */
     private static final int MAX_LOG_LINES = 3;
+    /** Length of that window, in microseconds. */
     private static final long LOG_WINDOW_US = 10_000_000;
 
-    /** Told on the loop what came of one connection. */
+    /** Receives the result of one connection, on the event loop. */
     interface Listener {
         void connected(Channel channel);
 
-        /** ofThisMachine: the machine could not even try, which says nothing of the other side. */
-        void failed(boolean ofThisMachine);
+        /** local: this machine could not even try, which says nothing of the remote side. */
+        void failed(boolean local);
     }
 
     private final EventLoop loop;
@@ -42,34 +43,34 @@
     private final String purpose;
     private final LogRateLimiter logLimiter = new LogRateLimiter(MAX_LOG_LINES, LOG_WINDOW_US);
 
-    /** bootstrap: group, channels and options of the connections; purpose: what they are for, as the log names it. */
+    /** bootstrap: channel factory and options of the connections; purpose: what they are for, as the log names it. */
     Connector(EventLoop loop, Bootstrap bootstrap, String purpose) {
         this.loop = loop;
         this.bootstrap = bootstrap.group(loop);
         this.purpose = purpose;
     }
 
-    /** Begins a connection; the channel, so that it can be closed before it is up, or null where there is none. */
-    Channel open(InetSocketAddress to, ChannelInitializer<Channel> handlers, Listener listener) {
-        ChannelFuture opening = bootstrap.clone().handler(handlers).connect(to);
-        boolean overAtOnce = opening.isDone();
-        opening.addListener(done -> {
-            // A connection comes up while the loop looks at its sockets: what it brings joins that iteration. A failure may come in the
-            // middle of whoever closes the connection.
-            if (done.isSuccess() && !overAtOnce && loop.inEventLoop()) {
-                reportInIteration(to, opening, listener);
+    /** Begins to connect. Returns the channel, which can be closed before it is connected, or null where its socket could not be created. */
+    Channel open(InetSocketAddress address, ChannelInitializer<Channel> handlers, Listener listener) {
+        ChannelFuture connecting = bootstrap.clone().handler(handlers).connect(address);
+        boolean doneAtOnce = connecting.isDone();
+        connecting.addListener(done -> {
+            // Success is seen while the loop processes its sockets, and joins the iteration that this begins. A failure may be reported
+            // from within the code that closes the connection, so it gets a task of its own.
+            if (done.isSuccess() && !doneAtOnce && loop.inEventLoop()) {
+                reportInIteration(address, connecting, listener);
             } else {
-                loop.execute(() -> report(to, opening, listener));
+                loop.execute(() -> report(address, connecting, listener));
             }
         });
-        // What Netty hands out in place of a channel that can't be made throws when it is closed.
-        return opening.channel().isRegistered() ? opening.channel() : null;
+        // The placeholder that Netty returns for a channel that can't be created throws when it is closed.
+        return connecting.channel().isRegistered() ? connecting.channel() : null;
     }
 
-    /** What a listener of a future throws is only logged: it goes on in a task, whose throws the node is told. */
-    private void reportInIteration(InetSocketAddress to, Future<?> opening, Listener listener) {
+    /** Rethrows in a task, whose failures reach the node: what a listener of a future throws is only logged by Netty. */
+    private void reportInIteration(InetSocketAddress address, Future<?> connecting, Listener listener) {
         try {
-            report(to, opening, listener);
+            report(address, connecting, listener);
         } catch (RuntimeException | Error e) {
             loop.execute(() -> {
                 throw e;
@@ -77,32 +78,32 @@
         }
     }
 
-    private void report(InetSocketAddress to, Future<?> opening, Listener listener) {
-        ChannelFuture over = (ChannelFuture) opening;
-        if (over.isSuccess()) {
-            listener.connected(over.channel());
+    private void report(InetSocketAddress address, Future<?> connecting, Listener listener) {
+        ChannelFuture future = (ChannelFuture) connecting;
+        if (future.isSuccess()) {
+            listener.connected(future.channel());
             return;
         }
-        boolean ofThisMachine = isLocalFailure(over.cause());
-        if (ofThisMachine && logLimiter.tryAcquire(loop.ticker().nanoTime() / 1000)) {
-            int unlisted = logLimiter.suppressed();
+        boolean local = isLocalFailure(future.cause());
+        if (local && logLimiter.tryAcquire(loop.ticker().nanoTime() / 1000)) {
+            int suppressed = logLimiter.suppressed();
             LogEvent.log(LOG, Level.WARNING, "connection.local", "{purpose}: this machine can't connect to {address}: {why}{more}", "purpose",
-                    purpose, "address", Addresses.format(to), "why", rootCauseMessage(over.cause()), "more",
-                    unlisted == 0 ? "" : "; " + unlisted + " more before it are not listed");
+                    purpose, "address", Addresses.format(address), "why", rootCauseMessage(future.cause()), "more",
+                    suppressed == 0 ? "" : "; " + suppressed + " more before it are not listed");
         }
-        listener.failed(ofThisMachine);
+        listener.failed(local);
     }
 
     /**
-     * Refused, no route and no answer are of the other side or the way there. The rest (no descriptors, no buffers, no free port, no
-     * network) is told by the own machine about itself.
+     * Whether this machine caused the failure. Refused, reset, no route and no answer come from the remote side or the network path;
+     * all other errors (no descriptors, no buffers, no free port, no network) come from this machine.
      */
     static boolean isLocalFailure(Throwable cause) {
-        boolean ofTheOther = cause instanceof ConnectException || cause instanceof NoRouteToHostException
+        boolean remote = cause instanceof ConnectException || cause instanceof NoRouteToHostException
                 || cause instanceof ConnectTimeoutException || rootCauseMessage(cause).contains("reset");
-        // The node has given the connection up itself before it was there.
+        // The node itself closed the connection before it was established.
         boolean closedHere = cause instanceof ClosedChannelException;
-        return !ofTheOther && !closedHere;
+        return !remote && !closedHere;
     }
 
     private static String rootCauseMessage(Throwable cause) {
--- a/node/src/main/java/wrenreach/net/DelayedTask.java
+++ b/node/src/main/java/wrenreach/net/DelayedTask.java
@@ -5,33 +5,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Work of a loop that is due after a time, and is done after one more look at the loop's sockets. Guards what came while the
- * process stood still (a stopped process, a frozen machine, a starved core) against being judged as not come: a selector
- * that wakes from a stop says that nothing is ready, and the time-outs that have run out meanwhile would go first. What is
- * scheduled by a task runs after the sockets have been looked at again.
+ * A task of an event loop that runs after a delay and one more select. While a process stands still (a stopped process, a frozen
+ * machine, a starved core) data may arrive: a selector that wakes from a stop reports nothing as ready, so timeouts that expired
+ * meanwhile would run first and take the data for not arrived. A task scheduled by another task runs after the next select.
  */
 public final class DelayedTask {
     private final EventLoop loop;
     private final Runnable task;
     private Future<?> scheduled;
 
-    private DelayedTask(EventLoop loop, Runnable work) {
+    private DelayedTask(EventLoop loop, Runnable task) {
         this.loop = loop;
-        this.task = work;
+        this.task = task;
     }
 
-    /** Does work on the loop after so many microseconds (at once where below 0) and one more look at the sockets. */
-    public static DelayedTask schedule(EventLoop loop, long delay, Runnable work) {
-        DelayedTask due = new DelayedTask(loop, work);
-        due.scheduled = loop.schedule(due::runAfterNextSelect, delay, TimeUnit.MICROSECONDS);
-        return due;
+    /** Runs a task on the loop after a delay in microseconds (below 0: none) and one more select. */
+    public static DelayedTask schedule(EventLoop loop, long delay, Runnable task) {
+        DelayedTask delayed = new DelayedTask(loop, task);
+        delayed.scheduled = loop.schedule(delayed::runAfterNextSelect, delay, TimeUnit.MICROSECONDS);
+        return delayed;
     }
 
     private void runAfterNextSelect() {
         scheduled = loop.schedule(task, 0, TimeUnit.MICROSECONDS);
     }
 
-    /** What has not been done yet never is; on the loop only. */
+    /** Cancels the task if it has not run yet; on the loop only. */
     public void cancel() {
         scheduled.cancel(false);
     }
--- a/node/src/main/java/wrenreach/net/Discovery.java
+++ b/node/src/main/java/wrenreach/net/Discovery.java
@@ -36,36 +36,44 @@
 import wrenreach.endpoints.ListSink;
 import wrenreach.log.LogEvent;
 
-/** Follows the list of endpoints. While it can't, the node goes on with what it knows. */
+/**
+ * Follows the endpoint list that discovery serves. A watch is a response that stays open and brings list updates; a snapshot is the
+ * whole list. While discovery can't be reached, the node goes on with the list that it has. Owned by the event loop.
+ */
 public final class Discovery {
     private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
     private static final long TCP_CONNECT_TIMEOUT_MS = 1000;
-    /** How long one line on lists that can't be read stands for those that follow, in microseconds. */
+    /** Least time between two log lines on unusable lists, in microseconds. */
     private static final long LOG_INTERVAL_US = 10_000_000;
-    /** Answers begin, and the whole list is there, at once, or later where many ask for it. */
-    private static final long RESPONSE_TIMEOUT_MS = 1000, MAX_RESPONSE_TIMEOUT_MS = 2000;
-    /** A list that finds no room finds none a moment later: the next try comes after so many of the longest pauses. */
+    /** Time in which a response begins, and in which each part of a snapshot brings an entry: discovery answers at once. */
+    private static final long RESPONSE_TIMEOUT_MS = 1000;
+    /** The same after several failures: discovery answers later where many nodes ask at a time. */
+    private static final long MAX_RESPONSE_TIMEOUT_MS = 2000;
+    /** After a list that was too large the next try comes after so many times the maximal backoff: it would be as large a moment later. */
     private static final int TOO_LARGE_BACKOFF_FACTOR = 30;
 
     /**
-     * Milliseconds: when a watch that says nothing is taken for dead; between a failure and the next try, at first and at
-     * most. What waits to be told counts as told within seconds, so they stay short.
+     * The timeouts of the watch. A list update counts as told to the node within seconds, so they are short.
+     *
+     * @param silenceTimeout milliseconds after which a watch that brings nothing is closed
+     * @param initialBackoff milliseconds between the first failure and the next try
+     * @param maxBackoff most milliseconds between a failure and the next try
      */
     public record Timeouts(long silenceTimeout, long initialBackoff, long maxBackoff) {
         /**
-         * A watch says something every 2 s. What a silent one misses counts as told 6 s after it fell silent: this leaves
-         * time for a second one that is silent from the start, and a third. What discovery has when it works again counts as
-         * told 6 s later: the last call that failed may take the whole silence, and the pause after it leaves a second.
+         * A watch brings something every 2 s. An update that a silent one misses counts as told 6 s after it fell silent: this leaves
+         * time for a second watch that is silent from the start, and a third. What discovery has when it recovers counts as told
+         * 6 s later: the last request that fails may take the whole silence timeout, and the backoff after it leaves a second.
          */
         public static final Timeouts NODE_DEFAULTS = new Timeouts(3500, 250, 1500);
     }
 
-    /** What discovery reports. */
+    /** Receives the lists and failures, on the event loop. */
     public interface Host {
-        /** Who takes the lists, as they come. */
+        /** The sink of the next list, which gets the entries as they are read. */
         ListSink listSink();
 
-        /** A watch or a request that was asked for broke. */
+        /** A watch or a request failed and isn't repeated unless asked for. */
         void listFailed();
     }
 
@@ -77,46 +85,50 @@
     private final Timeouts timeouts;
     private InetSocketAddress address;
     private long index;
-    /** Whether the version known is one of this address, and no older one has been heard since. */
+    /** Whether the known index is one of this address, and no lower one has come since. */
     private boolean indexValid;
     private boolean following;
-    /** Connections in use; those left behind by a move are none of them. */
+    /** Channels in use; those to a former address are not among them. */
     private final Set<Channel> openChannels = new LinkedHashSet<>();
-    /** The next try after a failure. */
+    /** The scheduled try after a failure. */
     private Future<?> nextTry;
     private boolean failing;
     private boolean stopped;
     private boolean refuses;
     private boolean unusableLogged;
     private long nextLogAt;
-    /** The list that came last found no room. */
+    /** Whether the last list was too large. */
     private boolean listTooLarge;
 
     /**
-     * index: the version known, and whether it is one of this address; again: a broken watch is made anew after a pause, not
-     * only when asked for; seed: of the pauses.
+     * Connects only once asked to.
+     *
+     * @param index the version of the known list
+     * @param indexValid whether it is one of this address
+     * @param reopensWatch whether a failed watch is opened again after a backoff, and not only on request
+     * @param seed of the jitter of the backoff
      */
-    public Discovery(EventLoop loop, ChannelFactory<? extends Channel> connecting, Host host, InetSocketAddress address, long index,
-                     boolean versionHolds, boolean again, long seed, Timeouts patience) {
-        this.indexValid = versionHolds;
-        this.timeouts = patience;
+    public Discovery(EventLoop loop, ChannelFactory<? extends Channel> channelFactory, Host host, InetSocketAddress address, long index,
+                     boolean indexValid, boolean reopensWatch, long seed, Timeouts timeouts) {
+        this.indexValid = indexValid;
+        this.timeouts = timeouts;
         this.loop = loop;
         this.host = host;
         this.address = address;
         this.index = index;
-        this.reopensWatch = again;
-        backoff = new Backoff(patience.initialBackoff, patience.maxBackoff, seed);
-        connector = new Connector(loop, new Bootstrap().channelFactory(connecting)
+        this.reopensWatch = reopensWatch;
+        backoff = new Backoff(timeouts.initialBackoff, timeouts.maxBackoff, seed);
+        connector = new Connector(loop, new Bootstrap().channelFactory(channelFactory)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new TimedReadAllocator(loop.ticker()))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) TCP_CONNECT_TIMEOUT_MS), "discovery");
     }
 
-    /** Asks for changes from the last known version on, and for the whole list first where that is in doubt. */
+    /** Opens a watch from the known index on, or requests a snapshot first where that index may not be valid. */
     public void follow() {
         following = true;
         if (nextTry != null) {
-            // Guards against a second watch where a move comes between a failure and the next try.
+            // Without this a change of address between a failure and the next try would open a second watch.
             nextTry.cancel(false);
         }
         if (!indexValid) {
@@ -130,7 +142,7 @@
         });
     }
 
-    /** Asks once for the whole list. */
+    /** Requests one snapshot. */
     public void fetchSnapshot() {
         requestSnapshot(false);
     }
@@ -144,73 +156,74 @@
     }
 
     /**
-     * Goes on at another address. Guards against news of the old one coming late, and against versions that mean
-     * something else at the new one: what is open is left behind, and the whole list is taken first.
+     * Continues at another address. Open connections are dropped and a snapshot is requested first: late updates of the old address
+     * must not be applied, and an index may mean something else at the new one.
      */
-    public void setAddress(InetSocketAddress to) {
-        if (to.equals(address)) {
+    public void setAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
+        address = newAddress;
         indexValid = false;
         backoff.reset();
-        List<Channel> left = new ArrayList<>(openChannels);
+        List<Channel> former = new ArrayList<>(openChannels);
         openChannels.clear();
-        left.forEach(Channel::close);
+        former.forEach(Channel::close);
         if (following && !stopped) {
             follow();
         }
     }
 
-    /** Whether it has answered a watch that it has no list to tell: that is no silence. */
+    /** Whether discovery has answered a watch with an error status: it is reachable, but has no list to tell. */
     public boolean refuses() {
         return refuses;
     }
 
-    /** Where the list comes from. */
+    /** The address that the list comes from. */
     public InetSocketAddress address() {
         return address;
     }
 
+    /** Ignores all failures from now on, so that nothing is tried again. */
     public void stop() {
         stopped = true;
     }
 
     private void request(String path, boolean watch, ChannelInitializer<Channel> handlers) {
-        PendingConnection opening = new PendingConnection(address, path, watch);
-        opening.channel = connector.open(address, handlers, opening);
-        if (opening.channel != null) {
-            openChannels.add(opening.channel);
+        PendingConnection pending = new PendingConnection(address, path, watch);
+        pending.channel = connector.open(address, handlers, pending);
+        if (pending.channel != null) {
+            openChannels.add(pending.channel);
         }
     }
 
-    /** A connection on its way up, and what is asked on it. */
+    /** A connection being opened, and the request to send on it. */
     private final class PendingConnection implements Connector.Listener {
         private final InetSocketAddress target;
         private final String path;
         private final boolean watch;
-        /** Null: its socket can't be made. */
+        /** Null where its socket could not be created. */
         private Channel channel;
 
-        PendingConnection(InetSocketAddress to, String path, boolean watch) {
-            this.target = to;
+        PendingConnection(InetSocketAddress target, String path, boolean watch) {
+            this.target = target;
             this.path = path;
             this.watch = watch;
         }
 
-        @Override public void connected(Channel up) {
-            if (!openChannels.contains(up)) {
-                up.close();
+        @Override public void connected(Channel connected) {
+            if (!openChannels.contains(connected)) {
+                connected.close();
                 return;
             }
             DefaultFullHttpRequest get = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
             get.headers().set(HttpHeaderNames.HOST, Addresses.format(target));
-            up.writeAndFlush(get);
+            connected.writeAndFlush(get);
         }
 
-        @Override public void failed(boolean ofThisMachine) {
-            boolean wanted = channel == null ? target.equals(address) : openChannels.remove(channel);
-            if (wanted) {
+        @Override public void failed(boolean local) {
+            boolean current = channel == null ? target.equals(address) : openChannels.remove(channel);
+            if (current) {
                 requestFailed("no connection", watch);
             }
         }
@@ -226,15 +239,15 @@
                     "why", why, "index", index);
         }
         if (reopensWatch && watch) {
-            long pause = listTooLarge ? TOO_LARGE_BACKOFF_FACTOR * timeouts.maxBackoff : backoff.nextDelay();
-            nextTry = loop.schedule(this::follow, pause, TimeUnit.MILLISECONDS);
+            long delayMs = listTooLarge ? TOO_LARGE_BACKOFF_FACTOR * timeouts.maxBackoff : backoff.nextDelay();
+            nextTry = loop.schedule(this::follow, delayMs, TimeUnit.MILLISECONDS);
         } else {
             following &= !watch;
             host.listFailed();
         }
     }
 
-    /** One list on its way from discovery to who takes it. */
+    /** A list being read from discovery and passed on to the sink of the host. */
     private final class IncomingList implements ListSink {
         private final boolean watch;
         private ListReader reader;
@@ -244,18 +257,18 @@
             this.watch = watch;
         }
 
-        /** More of it has come; true: an entry is among it. */
+        /** Reads the next bytes; returns whether they completed an entry. */
         boolean feed(ByteBuf bytes) throws IOException {
             if (reader == null) {
                 reader = new ListReader(this);
             }
-            long before = reader.entryCount();
-            byte[] piece = ByteBufUtil.getBytes(bytes);
-            reader.feed(piece, 0, piece.length);
-            return reader.entryCount() > before;
+            long entriesBefore = reader.entryCount();
+            byte[] array = ByteBufUtil.getBytes(bytes);
+            reader.feed(array, 0, array.length);
+            return reader.entryCount() > entriesBefore;
         }
 
-        /** It has come whole. */
+        /** All bytes of the list have come. */
         void finish() throws IOException {
             if (reader == null) {
                 throw new IOException("no list");
@@ -274,14 +287,14 @@
             sink.entry(entry);
         }
 
-        @Override public void end(long version, boolean whole) throws IOException {
-            if (watch && version < index) {
-                // Guards against news that come late, and drains undone by them: the whole list says what holds.
+        @Override public void end(long newIndex, boolean snapshot) throws IOException {
+            if (watch && newIndex < index) {
+                // A late update of a lower index could undo a drain: a snapshot says what is in force.
                 indexValid = false;
-                throw new IOException("version " + version + " after " + index);
+                throw new IOException("version " + newIndex + " after " + index);
             }
-            sink.end(version, whole);
-            index = version;
+            sink.end(newIndex, snapshot);
+            index = newIndex;
             indexValid = true;
             listTooLarge = false;
             if (failing) {
@@ -291,7 +304,7 @@
         }
     }
 
-    /** A list can't be used: the one before holds on. */
+    /** A list can't be used: the one before stays in force. */
     private void listUnusable(IOException why) {
         listTooLarge = why instanceof EndpointTable.TooLarge;
         if (listTooLarge) {
@@ -303,7 +316,7 @@
         }
     }
 
-    /** Guards the log against lists that can't be read time and again: one line stands for a while. */
+    /** Logs unusable lists at a limited rate, so that repeated ones don't flood the log. */
     private void logUnusable(String why) {
         long now = loop.ticker().nanoTime() / 1000;
         if (!unusableLogged || now >= nextLogAt) {
@@ -314,7 +327,7 @@
         }
     }
 
-    /** The bytes of a watch's body, as they come. */
+    /** Passes on the bytes of the body of a watch as they come, and closes the connection on an error status or at its end. */
     private final class WatchBodyDecoder extends MessageToMessageDecoder<HttpObject> {
         @Override protected void decode(ChannelHandlerContext ctx, HttpObject message, List<Object> out) {
             boolean refused = message instanceof HttpResponse response && response.status().code() != 200;
@@ -335,6 +348,7 @@
         }
     }
 
+    /** Closes a connection whose response is late, and reports the failure of one that is in use. */
     private abstract class ResponseHandler<T> extends SimpleChannelInboundHandler<T> {
         private final boolean watch;
         private DelayedTask timeout;
@@ -343,7 +357,7 @@
             this.watch = watch;
         }
 
-        /** Closes the connection unless this is called again within so long. */
+        /** Closes the connection unless this is called again within the given time. */
         final void restartTimeout(ChannelHandlerContext ctx, long ms) {
             if (timeout != null) {
                 timeout.cancel();
@@ -372,9 +386,9 @@
         }
     }
 
-    /** Only whole objects and blank lines are signs of life: guards against a watch that dies within one. */
+    /** Handles a watch. Only entries, whole objects and blank lines restart the timeout, so that a watch that dies within a list is closed. */
     private final class WatchHandler extends ResponseHandler<ListFrameDecoder.Fragment> {
-        /** What it said is not known: a new watch tells all since the last version that is, and nothing after counts. */
+        /** A list could not be read. All further input is ignored: a new watch brings all changes since the last known index. */
         private boolean malformed;
         private final IncomingList incoming = new IncomingList(true);
 
@@ -388,21 +402,21 @@
             }
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, ListFrameDecoder.Fragment piece) {
+        @Override protected void channelRead0(ChannelHandlerContext ctx, ListFrameDecoder.Fragment fragment) {
             if (malformed || !openChannels.contains(ctx.channel())) {
                 return;
             }
-            if (!piece.content().isReadable()) {
+            if (!fragment.content().isReadable()) {
                 restartTimeout(ctx, timeouts.silenceTimeout);
-                // Not at each list: one that is followed by a spoilt one is no reason to ask faster.
+                // Reset here and not at each list: valid lists that are each followed by a malformed one must not shorten the backoff.
                 backoff.reset();
                 return;
             }
             try {
-                if (incoming.feed(piece.content()) || piece.last) {
+                if (incoming.feed(fragment.content()) || fragment.last) {
                     restartTimeout(ctx, timeouts.silenceTimeout);
                 }
-                if (piece.last) {
+                if (fragment.last) {
                     incoming.finish();
                 }
             } catch (IOException e) {
@@ -413,6 +427,7 @@
         }
     }
 
+    /** Handles a snapshot. */
     private final class SnapshotHandler extends ResponseHandler<HttpObject> {
         private final boolean thenFollow;
         private final IncomingList incoming = new IncomingList(false);
@@ -427,14 +442,14 @@
             if (consumed || !openChannels.contains(ctx.channel())) {
                 return;
             }
-            boolean sound = message.decoderResult().isSuccess()
+            boolean valid = message.decoderResult().isSuccess()
                     && !(message instanceof HttpResponse response && response.status().code() != 200);
             try {
-                if (sound && message instanceof HttpContent content && content.content().isReadable()
+                if (valid && message instanceof HttpContent content && content.content().isReadable()
                         && incoming.feed(content.content())) {
                     restartTimeout(ctx, backoff.scaledTimeout(RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS));
                 }
-                if (sound && message instanceof LastHttpContent) {
+                if (valid && message instanceof LastHttpContent) {
                     consumed = true;
                     incoming.finish();
                     if (openChannels.remove(ctx.channel()) && thenFollow) {
@@ -445,7 +460,7 @@
                 consumed = true;
                 listUnusable(e);
             }
-            if (!sound || consumed) {
+            if (!valid || consumed) {
                 ctx.close();
             }
         }
--- a/node/src/main/java/wrenreach/net/ListFrameDecoder.java
+++ b/node/src/main/java/wrenreach/net/ListFrameDecoder.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /**
- * Cuts a watch's bytes into pieces of objects, indented over several lines or not, and empty pieces for its blank lines: a
- * piece is what has come of an object, so that none is ever held whole. What can't become an object is told by an exception
- * as soon as that shows: text outside of one, a line that ends in a string, and a blank line or a new object at a line's start
- * within one, as half an object leaves them.
+ * Splits the bytes of a watch into fragments of JSON objects, which may be indented over several lines, and empty fragments for its
+ * blank lines. A fragment is as much of an object as has come, so that no object is ever in memory whole. Malformed input fails with
+ * CorruptedFrameException as soon as it is seen: text outside of an object, a line end in a string, and a blank line or a new object
+ * at the start of a line within an object, which half an object leaves behind.
  */
 final class ListFrameDecoder extends ByteToMessageDecoder {
-    /** What has come of an object; the last piece ends it. */
+    /** Part of an object; the last fragment ends it. */
     static final class Fragment extends DefaultByteBufHolder {
         final boolean last;
 
@@ -25,25 +25,26 @@
         }
     }
 
-    /** Bytes of the piece that have been looked at, and the one before them. */
+    /** Bytes of the fragment that have been scanned. */
     private int scanned;
+    /** The byte before the one being scanned. */
     private byte previous;
     private int depth;
     private boolean inString;
     private boolean escaped;
     private boolean lineStart = true;
-    /** The line holds an object's end: its own end is no blank line. */
+    /** An object has ended on this line, so that the end of the line is no blank line. */
     private boolean objectEnded;
 
     @Override protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         while (scanned < in.readableBytes()) {
             byte c = in.getByte(in.readerIndex() + scanned++);
-            boolean began = lineStart;
+            boolean atLineStart = lineStart;
             lineStart = c == '\n' || lineStart && (c == ' ' || c == '\t' || c == '\r');
             if (depth == 0) {
                 scanOutside(c, in, out);
             } else {
-                scanInside(c, began, in, out);
+                scanInside(c, atLineStart, in, out);
             }
             previous = c;
             if (!out.isEmpty()) {
@@ -73,8 +74,8 @@
         }
     }
 
-    private void scanInside(byte c, boolean began, ByteBuf in, List<Object> out) {
-        if (c == '\n' && (inString || began)) {
+    private void scanInside(byte c, boolean atLineStart, ByteBuf in, List<Object> out) {
+        if (c == '\n' && (inString || atLineStart)) {
             malformed(in, inString ? "a line ends in a string" : "a blank line in an object");
         } else if (inString) {
             inString = escaped || c != '"';
@@ -83,7 +84,7 @@
             inString = true;
         } else if (c == '{' || c == '[') {
             depth++;
-            if (c == '{' && began && previous == '\n') {
+            if (c == '{' && atLineStart && previous == '\n') {
                 malformed(in, "an object begins in another");
             }
         } else if ((c == '}' || c == ']') && --depth == 0) {
--- a/node/src/main/java/wrenreach/net/LoopFailures.java
+++ b/node/src/main/java/wrenreach/net/LoopFailures.java
@@ -11,15 +11,15 @@
 import java.util.function.Consumer;
 
 /**
- * Where a loop tells what its tasks threw. Guards against a process that stays and serves nobody: by itself the loop only logs
- * what a task throws, says nothing of what a delayed one throws, and ends alone where it fails itself.
+ * Reports exceptions of an event loop and its tasks to a handler. By itself the loop only logs what a task throws, ignores what a
+ * delayed one throws, and where it fails itself only the loop ends: the process would stay and serve nobody.
  */
 public final class LoopFailures {
     private volatile Consumer<Throwable> handler = thrown -> { };
 
-    /** Who is told, on the loop's own thread, of each task that ends by a throw and of the loop's own end by one. */
-    public void setHandler(Consumer<Throwable> host) {
-        handler = host;
+    /** Sets the handler, which is called on the loop's thread for each exception of a task, and for one that ends the loop itself. */
+    public void setHandler(Consumer<Throwable> handler) {
+        this.handler = handler;
     }
 
     private Runnable reportingFailures(Runnable task) {
@@ -36,15 +36,15 @@
         try {
             handler.accept(thrown);
         } catch (RuntimeException | Error e) {
-            // Guards against a process that has no memory left even to be told, and so stays.
+            // With no memory left even for the handler, the process would stay and serve nobody.
             Runtime.getRuntime().halt(1);
         }
     }
 
-    /** A group of one loop that tells its failures here. */
+    /** A group of one loop that reports its failures here. */
     MultiThreadIoEventLoopGroup group() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()) {
-            @Override protected IoEventLoop newChild(Executor executor, IoHandlerFactory handlers, Object... more) {
+            @Override protected IoEventLoop newChild(Executor executor, IoHandlerFactory handlers, Object... arguments) {
                 return new ReportingLoop(this, executor, handlers);
             }
         };
--- a/node/src/main/java/wrenreach/net/MachineClocks.java
+++ b/node/src/main/java/wrenreach/net/MachineClocks.java
@@ -6,12 +6,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the machine tells of time, and the one place that may read its wall clock: that clock may be stepped, forward or back, while
+ * The clocks of the machine, and the only place that may read its wall clock: that clock may be stepped, forward or back, while
  * a process runs or between two processes.
  *
  * @param wallMillis milliseconds of the wall clock
- * @param monotonicNanos nanoseconds of a clock that only goes forward, the same for all processes of a boot
- * @param boot what names the boot of the machine; empty where it is not known
+ * @param monotonicNanos nanoseconds of a monotonic clock, the same for all processes of a boot
+ * @param boot identifies the boot of the machine; empty where it is not known
  */
 public record MachineClocks(LongSupplier wallMillis, LongSupplier monotonicNanos, String boot) {
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
--- a/node/src/main/java/wrenreach/net/Notices.java
+++ b/node/src/main/java/wrenreach/net/Notices.java
@@ -33,17 +33,21 @@
 import wrenreach.held.HeldMail;
 import wrenreach.log.LogEvent;
 
-/** Tells the platform of mails that ended undelivered, again and again until it answers. */
+/** Posts the endings of undelivered mails to the platform, and repeats each until the platform acknowledges it. Owned by the event loop. */
 public final class Notices {
     private static final System.Logger LOG = System.getLogger(Notices.class.getName());
     private static final JsonFactory JSON = new JsonFactory();
-    /**
-     * The platform answers at once, and an ending has 350 ms after its mail's time. So the first patience leaves room for
-     * a second post; it grows to the longest, or a slow platform would never be heard.
-     */
-    private static final long RESPONSE_TIMEOUT_MS = 150, MAX_RESPONSE_TIMEOUT_MS = 1000, INITIAL_BACKOFF_MS = 100, MAX_BACKOFF_MS = 400;
+    /** The first timeout of a post. The platform answers at once, and an ending has 350 ms after its mail's deadline: a second post fits in. */
+    private static final long RESPONSE_TIMEOUT_MS = 150;
+    /** The timeout grows up to this after failures, since responses of a slow platform would otherwise never be received. */
+    private static final long MAX_RESPONSE_TIMEOUT_MS = 1000;
+    /** Time between the first failure and the next try. */
+    private static final long INITIAL_BACKOFF_MS = 100;
+    /** Most time between a failure and the next try. */
+    private static final long MAX_BACKOFF_MS = 400;
+    /** The largest body of a response that is read. */
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
-    /** Notices in one post; each is far shorter than its part of a body's limit. */
+    /** Notices in one post; each is far shorter than its part of the limit for a body. */
     private static final int MAX_BATCH_SIZE = 200;
 
     private final EventLoop loop;
@@ -56,43 +60,44 @@
     private Channel channel;
     private boolean connectPending;
     private boolean paused;
-    /** The connection has brought an answer: if it breaks, that says nothing of the platform. */
+    /** Whether a response has come on this connection: if it breaks, that says nothing of the platform. */
     private boolean connectionProven;
     private boolean failing;
     private DelayedTask responseTimeout;
 
-    /** heard: told of each mail whose notice was answered; seed: of the pauses after a failure. */
-    public Notices(EventLoop loop, ChannelFactory<? extends Channel> connecting, InetSocketAddress address, Consumer<HeldMail> heard,
+    /** onAcknowledged: called for each mail whose notice the platform acknowledged; seed: of the jitter of the backoff. */
+    public Notices(EventLoop loop, ChannelFactory<? extends Channel> channelFactory, InetSocketAddress address, Consumer<HeldMail> onAcknowledged,
                    long seed) {
-        this(loop, connecting, address, heard, new Backoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, seed));
+        this(loop, channelFactory, address, onAcknowledged, new Backoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, seed));
     }
 
-    Notices(EventLoop loop, ChannelFactory<? extends Channel> connecting, InetSocketAddress address, Consumer<HeldMail> heard,
-            Backoff pauses) {
+    Notices(EventLoop loop, ChannelFactory<? extends Channel> channelFactory, InetSocketAddress address, Consumer<HeldMail> onAcknowledged,
+            Backoff backoff) {
         this.loop = loop;
-        connector = new Connector(loop, new Bootstrap().channelFactory(connecting)
+        connector = new Connector(loop, new Bootstrap().channelFactory(channelFactory)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) MAX_RESPONSE_TIMEOUT_MS), "completion notifications");
         this.address = address;
-        this.onAcknowledged = heard;
-        this.backoff = pauses;
+        this.onAcknowledged = onAcknowledged;
+        this.backoff = backoff;
     }
 
+    /** Adds a mail that ended undelivered; it is posted by a later {@link #flush}. */
     public void add(HeldMail held) {
         unacknowledged.add(held);
     }
 
-    /** Endings that the platform has not confirmed. */
+    /** Mails whose ending the platform has not acknowledged. */
     public Set<HeldMail> unacknowledged() {
         return unacknowledged;
     }
 
-    /** While paused nothing is posted: what has been added may not be recorded. */
+    /** While paused nothing is posted, as the records of the added endings may not be written. */
     public void pause(boolean on) {
         paused = on;
     }
 
-    /** Posts what is untold, one post at a time. */
+    /** Posts unacknowledged endings, one post at a time. */
     public void flush() {
         if (paused || unacknowledged.isEmpty() || !inFlight.isEmpty() || connectPending) {
             return;
@@ -111,10 +116,10 @@
         channel.writeAndFlush(post);
     }
 
-    /** Posts to another address; what was posted to the old one and not answered goes out there once more. */
-    public void setAddress(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
+    /** Posts to another address from now on; a post to the old one without a response is repeated there. */
+    public void setAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             dropConnection();
             flush();
         }
@@ -126,9 +131,9 @@
             responseTimeout.cancel();
         }
         if (channel != null) {
-            Channel old = channel;
+            Channel former = channel;
             channel = null;
-            old.close();
+            former.close();
         }
     }
 
@@ -155,26 +160,26 @@
 
     private void openConnection() {
         connectPending = true;
-        InetSocketAddress to = address;
-        connector.open(to, new ChannelInitializer<Channel>() {
-            @Override protected void initChannel(Channel fresh) {
-                fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), new ResponseHandler());
+        InetSocketAddress target = address;
+        connector.open(target, new ChannelInitializer<Channel>() {
+            @Override protected void initChannel(Channel opened) {
+                opened.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), new ResponseHandler());
             }
         }, new Connector.Listener() {
-            @Override public void connected(Channel fresh) {
+            @Override public void connected(Channel opened) {
                 connectPending = false;
-                if (to.equals(address)) {
-                    channel = fresh;
+                if (target.equals(address)) {
+                    channel = opened;
                     connectionProven = false;
                 } else {
-                    fresh.close();
+                    opened.close();
                 }
                 flush();
             }
 
-            @Override public void failed(boolean ofThisMachine) {
+            @Override public void failed(boolean local) {
                 connectPending = false;
-                if (to.equals(address)) {
+                if (target.equals(address)) {
                     postFailed("no connection");
                 } else {
                     flush();
@@ -183,7 +188,7 @@
         });
     }
 
-    /** Guards endings while the platform can't be reached: they stay, and go again after a short pause. */
+    /** Keeps the endings and posts them again after a backoff, so that none is lost while the platform can't be reached. */
     private void postFailed(String why) {
         if (!failing) {
             failing = true;
@@ -206,10 +211,10 @@
             failing = false;
             LogEvent.log(LOG, Level.INFO, "notices.answered", "notices: answered again");
         }
-        List<HeldMail> told = new ArrayList<>(inFlight);
+        List<HeldMail> acknowledged = new ArrayList<>(inFlight);
         inFlight = List.of();
-        told.forEach(unacknowledged::remove);
-        told.forEach(onAcknowledged);
+        acknowledged.forEach(unacknowledged::remove);
+        acknowledged.forEach(onAcknowledged);
         if (!HttpUtil.isKeepAlive(response)) {
             channel.close();
             channel = null;
@@ -228,7 +233,7 @@
             if (ctx.channel() == channel) {
                 channel = null;
                 if (!inFlight.isEmpty() && connectionProven) {
-                    // Guards endings against a connection that was closed while it stood idle: a new one is made at once.
+                    // The platform closed an idle connection: a new one is opened at once, as the endings have no time for a backoff.
                     dropConnection();
                     flush();
                 } else if (!inFlight.isEmpty()) {
--- a/node/src/main/java/wrenreach/net/PartialRequestLimiter.java
+++ b/node/src/main/java/wrenreach/net/PartialRequestLimiter.java
@@ -5,33 +5,33 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.util.ReferenceCountUtil;
 
-/** Guards memory against requests that never end: it stands first and counts what has come of one that is not whole. */
+/** Bounds the memory of requests that never end. It is the first handler and counts the bytes of a request that is not complete. */
 final class PartialRequestLimiter extends ChannelInboundHandlerAdapter {
     private final int maxBytes;
     private int partialBytes;
     private long firstByteAt;
     private boolean stopped;
 
-    PartialRequestLimiter(int limit) {
-        this.maxBytes = limit;
+    PartialRequestLimiter(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Whether part of a request has come. */
+    /** Whether a request has come in part. */
     boolean hasPartialRequest() {
         return partialBytes > 0;
     }
 
-    /** When its first byte came; by the loop's ticker. */
+    /** When the first byte of that request came, in nanoseconds of the loop's ticker. */
     long firstByteAt() {
         return firstByteAt;
     }
 
-    /** A request came out whole. */
+    /** A complete request was decoded. */
     void requestCompleted() {
         partialBytes = 0;
     }
 
-    /** Nothing more is read. */
+    /** Discards all further input. */
     void stop() {
         stopped = true;
     }
@@ -46,7 +46,7 @@
         ctx.fireChannelRead(message);
         if (partialBytes > maxBytes && !stopped) {
             stopped = true;
-            // Past the codecs, straight to the door.
+            // Bypasses the codecs and goes straight to the server.
             ctx.pipeline().context(RequestDecoder.class)
                     .fireChannelRead(new Request.Malformed("request too large", true));
         }
--- a/node/src/main/java/wrenreach/net/Reply.java
+++ b/node/src/main/java/wrenreach/net/Reply.java
@@ -1,16 +1,16 @@
 package wrenreach.net;
 
-/** What a client is told. */
+/** A reply to a client. */
 public sealed interface Reply {
-    /** The mail is taken on. */
+    /** The mail is accepted. */
     record Accepted() implements Reply { }
 
-    /** Not taken, handing it in again is harmless; retryAfterMs 0: no advice. */
+    /** The mail is not accepted, and submitting it again is harmless; retryAfterMs 0: no advice. */
     record Busy(long retryAfterMs) implements Reply { }
 
-    /** The node serves. */
+    /** The answer to a ping: the node serves. */
     record Pong() implements Reply { }
 
-    /** Not done; close: nothing more is read from this client. */
+    /** The request failed; close: nothing more is read from this client. */
     record Error(String reason, boolean close) implements Reply { }
 }
--- a/node/src/main/java/wrenreach/net/ReplyEncoder.java
+++ b/node/src/main/java/wrenreach/net/ReplyEncoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.redis.SimpleStringRedisMessage;
 import java.util.List;
 
-/** Turns a reply into its RESP form, once. */
+/** Encodes a reply as a RESP message. */
 final class ReplyEncoder extends MessageToMessageEncoder<Reply> {
     @Override protected void encode(ChannelHandlerContext ctx, Reply reply, List<Object> out) {
         if (reply instanceof Reply.Accepted) {
--- a/node/src/main/java/wrenreach/net/ReplyHandle.java
+++ b/node/src/main/java/wrenreach/net/ReplyHandle.java
@@ -1,10 +1,10 @@
 package wrenreach.net;
 
-/** Who handed in a mail and waits for the answer. */
+/** The submitter of a mail, who waits for the reply. */
 public interface ReplyHandle {
-    /** Whether nobody waits any more. */
+    /** Whether nobody waits for the reply any more. */
     boolean abandoned();
 
-    /** Sets the answer; the last one of the turn counts. */
-    void reply(Reply answer);
+    /** Sets the reply; the last one set in the iteration counts. */
+    void reply(Reply reply);
 }
--- a/node/src/main/java/wrenreach/net/Request.java
+++ b/node/src/main/java/wrenreach/net/Request.java
@@ -2,14 +2,14 @@
 
 import wrenreach.held.Submission;
 
-/** What a client asks for. */
+/** A request of a client. */
 public sealed interface Request {
-    /** Take this mail; lifetimeMs: how long it may still be delivered. */
+    /** Submits a mail; lifetimeMs: how long from now it may be delivered. */
     record Submit(Submission submission, long lifetimeMs) implements Request { }
 
-    /** Tell whether the node serves. */
+    /** Asks whether the node serves. */
     record Ping() implements Request { }
 
-    /** Not understood; the connection is closed where what follows can't be trusted. */
+    /** A request that can't be read; close: the bytes after it can't be trusted, so the connection is closed. */
     record Malformed(String reason, boolean close) implements Request { }
 }
--- a/node/src/main/java/wrenreach/net/RequestDecoder.java
+++ b/node/src/main/java/wrenreach/net/RequestDecoder.java
@@ -13,8 +13,9 @@
 import java.util.List;
 import wrenreach.held.Submission;
 
-/** Turns a client's command into a request, once. */
+/** Decodes a RESP message of a client to a request. */
 final class RequestDecoder extends MessageToMessageDecoder<RedisMessage> {
+    /** The longest id, order key or tag, in characters. */
     private static final int MAX_WORD_LENGTH = 128;
 
     @Override protected void decode(ChannelHandlerContext ctx, RedisMessage message, List<Object> out) {
@@ -70,7 +71,7 @@
                 case "d" -> lifetime = parseNumber(value);
                 case "dest" -> destination = parseNumber(value);
                 case "k" -> tag = value;
-                default -> { } // A name of a later protocol, or a mark that the decisions don't use.
+                default -> { } // A field of a later protocol, or one that the decisions don't use.
             }
         }
         if (lifetime < 0 || destination < 0 || destination > Integer.MAX_VALUE
@@ -81,7 +82,7 @@
                 new Submission(id, key, queueClass, tenant, tag, (int) destination, body), lifetime);
     }
 
-    /** Guards the headers that ids travel in: a word of printable ASCII only. */
+    /** Whether it is a word of printable ASCII: ids are sent in HTTP headers, where a line end would begin a header of its own. */
     private static boolean isPrintableWord(String text) {
         return !text.isEmpty() && text.length() <= MAX_WORD_LENGTH && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
--- a/node/src/main/java/wrenreach/net/RequestSizeLimiter.java
+++ b/node/src/main/java/wrenreach/net/RequestSizeLimiter.java
@@ -6,8 +6,12 @@
 import io.netty.handler.codec.redis.BulkStringHeaderRedisMessage;
 import io.netty.util.ReferenceCountUtil;
 
-/** Guards memory against a client that announces more than a request may hold; it stands before the aggregators. */
+/**
+ * Rejects a request whose announced lengths exceed what a request may hold. It precedes the aggregators, which would allocate memory
+ * for it.
+ */
 final class RequestSizeLimiter extends ChannelInboundHandlerAdapter {
+    /** The most words in a request; more than any command has. */
     static final int MAX_WORDS = 16;
 
     private final int maxBodyBytes;
@@ -25,7 +29,7 @@
         } else if (large) {
             rejected = true;
             ReferenceCountUtil.release(message);
-            // Past the aggregators, straight to the door.
+            // Bypasses the aggregators and goes straight to the server.
             ctx.pipeline().context(RequestDecoder.class)
                     .fireChannelRead(new Request.Malformed("request too large", true));
         } else {
--- a/node/src/main/java/wrenreach/net/ResponseStatusDecoder.java
+++ b/node/src/main/java/wrenreach/net/ResponseStatusDecoder.java
@@ -11,12 +11,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Stands before the HTTP codec of a call: tells an answer's status as soon as its first line is whole, as that holds
- * whatever follows; leaves out interim answers (1xx); and finds fault with bytes that no call waits for.
+ * Precedes the HTTP codec of a call. It reports a response's status as soon as the status line is complete, since the status
+ * holds whatever follows; skips interim responses (1xx); and fails with CorruptedFrameException on bytes that no call waits for.
  */
 final class ResponseStatusDecoder extends ByteToMessageDecoder {
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})( .*)?");
-    /** What may come before an answer's first line is whole, interim answers included. */
+    /** Bytes that may come before the final status line is complete, interim responses included. */
     private static final int MAX_START_BYTES = 16 * 1024;
 
     private enum State { NONE_EXPECTED, STATUS_LINE, INTERIM_HEADERS, PASS_THROUGH }
@@ -26,25 +26,25 @@
     private int bytesSeen;
     private int status;
 
-    /** begun: run when an answer's first line is there. */
-    ResponseStatusDecoder(Runnable begun) {
-        this.onStatusLine = begun;
+    /** onStatusLine: run when the status line of a final response has come. */
+    ResponseStatusDecoder(Runnable onStatusLine) {
+        this.onStatusLine = onStatusLine;
     }
 
-    /** A call goes out: an answer may come. */
+    /** A call is written: its response may come. */
     void expectResponse() {
         state = State.STATUS_LINE;
         status = 0;
         bytesSeen = 0;
     }
 
-    /** The answer has ended; nothing more belongs to it, and it says nothing of the next call on its connection. */
+    /** The response has ended: further bytes are an error, and its status says nothing of the next call on the connection. */
     void responseEnded() {
         state = State.NONE_EXPECTED;
         status = 0;
     }
 
-    /** The status of the answer that is coming in, 0 before its first line is whole. */
+    /** The status of the response being read; 0 before its status line is complete. */
     int status() {
         return status;
     }
--- a/node/src/main/java/wrenreach/net/SubmissionServer.java
+++ b/node/src/main/java/wrenreach/net/SubmissionServer.java
@@ -31,33 +31,51 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Where clients hand in mails. Replies wait for the end of the turn and go out in the order of the requests. */
+/**
+ * The listener for clients, which submit mails in RESP (the Redis protocol). Replies wait for the end of the iteration and go out in
+ * the order of the requests. Owned by the event loop.
+ */
 public final class SubmissionServer {
+    /** The protocol's limit for the body of a mail. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int MAX_LINE_BYTES = 1024, MAX_READ_BYTES = 16 * 1024, MAX_READS_PER_ITERATION = 16, MAX_ACCEPTS_PER_ITERATION = 32;
-    /** What one client's unfinished request may take. */
+    /** The longest RESP line, such as a length or an inline command. */
+    private static final int MAX_LINE_BYTES = 1024;
+    /** Bytes that one read from a client's socket takes at most. */
+    private static final int MAX_READ_BYTES = 16 * 1024;
+    /** Reads from one client's socket each time that the loop looks at its sockets. */
+    private static final int MAX_READS_PER_ITERATION = 16;
+    /** Connections accepted each time that the loop looks at its sockets. */
+    private static final int MAX_ACCEPTS_PER_ITERATION = 32;
+    /** Memory that one client's unfinished request may take. */
     public static final int MAX_CLIENT_BYTES = MAX_BODY_BYTES + MAX_READ_BYTES;
-    /** A request is whole so soon after its connection or its first byte; a client may stand idle for so long. */
-    private static final long REQUEST_TIMEOUT_MS = 2000, IDLE_TIMEOUT_MS = 5000, TIMEOUT_CHECK_INTERVAL_MS = 250;
-    /** For how long a client's connection is read on after its last answer, and one in how many may be at once. */
+    /** Time for a whole request, from its first byte; for the first request of a connection, from the accept. */
+    private static final long REQUEST_TIMEOUT_MS = 2000;
+    /** How long a client's connection may be idle between requests. */
+    private static final long IDLE_TIMEOUT_MS = 5000;
+    /** Interval at which connections are checked for these timeouts. */
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 250;
+    /** How long a connection is still read after its last reply, before it is closed. */
     private static final long LINGER_MS = 250;
+    /** One in so many of the connections may linger at a time. */
     private static final int LINGER_DIVISOR = 16;
-    /** For how long a socket to listen on is tried for, and between two tries. */
-    private static final long LISTEN_TIMEOUT_MS = 10_000, LISTEN_RETRY_INTERVAL_MS = 50;
-    /** Requests that one client may have open: the protocol's clients have one. */
+    /** How long the server tries to create the socket that it listens on. */
+    private static final long LISTEN_TIMEOUT_MS = 10_000;
+    /** Time between two of these tries. */
+    private static final long LISTEN_RETRY_INTERVAL_MS = 50;
+    /** Unanswered requests that one client may have; the protocol's clients have one. */
     private static final int MAX_OPEN_REQUESTS = 64;
 
-    /** What the door reports. */
+    /** Receives the requests of clients, on the event loop. */
     public interface Host {
-        /** A request was read; it is answered by setting its reply before the turn ends. */
-        void onRequest(PendingRequest asked);
+        /** A request was read; it is answered if its reply is set before the iteration ends. */
+        void onRequest(PendingRequest request);
     }
 
-    /** One request, until it is answered. */
+    /** A request that has not been answered yet. */
     public static final class PendingRequest implements ReplyHandle {
         public final Request request;
         private final ClientConnection client;
-        /** Whether nothing is read after it. */
+        /** Whether nothing more is read from the client after this request. */
         private final boolean last;
         private Reply reply;
 
@@ -67,13 +85,13 @@
             this.last = last;
         }
 
-        /** Whether the client has closed its connection, or at least its sending: the two look alike. */
+        /** Whether the client has closed its connection or only its sending side: the two look alike. */
         @Override public boolean abandoned() {
             return client.inputClosed || !client.ctx.channel().isActive();
         }
 
-        @Override public void reply(Reply answer) {
-            reply = answer;
+        @Override public void reply(Reply newReply) {
+            reply = newReply;
         }
     }
 
@@ -82,56 +100,56 @@
     private final Host host;
     private final int maxClients;
     private final int maxLingering;
-    /** Those that never asked for anything, in the order they came. */
+    /** Clients that have sent no request so far, in the order in which they connected. */
     private final Set<ClientConnection> clientsWithoutRequest = new LinkedHashSet<>();
-    /** The others, least lately used first. */
+    /** The other clients, the least recently used first. */
     private final Set<ClientConnection> clientsWithRequest = new LinkedHashSet<>();
     private final List<ClientConnection> clientsAwaitingReplies = new ArrayList<>();
     private final ClosedConnections closedConnections = new ClosedConnections();
     private Channel serverChannel;
     private boolean closing;
-    /** Connections that have had their last answer and are read on for a while. */
+    /** Connections that have had their last reply and are still read for a short time. */
     private int lingeringClients;
 
-    /** limit: client connections kept at once. */
-    public SubmissionServer(EventLoopGroup loop, ChannelFactory<? extends ServerChannel> listening, Host host, int limit) {
-        this.group = loop;
-        this.serverChannelFactory = listening;
+    /** maxConnections: client connections kept open at a time, those that linger included. */
+    public SubmissionServer(EventLoopGroup group, ChannelFactory<? extends ServerChannel> serverChannelFactory, Host host, int maxConnections) {
+        this.group = group;
+        this.serverChannelFactory = serverChannelFactory;
         this.host = host;
-        maxLingering = Math.max(1, limit / LINGER_DIVISOR);
-        this.maxClients = Math.max(1, limit - limit / LINGER_DIVISOR);
+        maxLingering = Math.max(1, maxConnections / LINGER_DIVISOR);
+        this.maxClients = Math.max(1, maxConnections - maxConnections / LINGER_DIVISOR);
     }
 
-    /** Told in tasks of the loop whether the door is open. */
+    /** Receives the result of {@link #open}, in a task of the loop. */
     public interface ListenCallback {
         void opened(InetSocketAddress at);
 
-        /** The address can't be listened on, or no socket could be made for as long as one is tried for. */
+        /** The address can't be listened on, or no socket could be created for 10 s. */
         void failed(Throwable why);
     }
 
-    /** Listens on the address; where the machine can't make a socket just now it tries again for some seconds. */
-    public void open(InetSocketAddress address, ListenCallback opening) {
+    /** Listens on the address. Where the machine can't create a socket at the moment, tries again for 10 s. */
+    public void open(InetSocketAddress address, ListenCallback callback) {
         scheduleTimeoutCheck();
-        listen(address, opening, nowNanos() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MS));
+        listen(address, callback, nowNanos() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MS));
     }
 
-    private void listen(InetSocketAddress address, ListenCallback opening, long until) {
+    private void listen(InetSocketAddress address, ListenCallback callback, long deadline) {
         ChannelFuture bound = bind(address);
         bound.addListener(done -> group.next().execute(() -> {
             if (bound.isSuccess()) {
                 serverChannel = bound.channel();
-                opening.opened((InetSocketAddress) serverChannel.localAddress());
-            } else if (!closing && !(bound.cause() instanceof BindException) && nowNanos() < until) {
-                // No descriptors or buffers: that passes, and says nothing of the address.
-                group.next().schedule(() -> listen(address, opening, until), LISTEN_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                callback.opened((InetSocketAddress) serverChannel.localAddress());
+            } else if (!closing && !(bound.cause() instanceof BindException) && nowNanos() < deadline) {
+                // No descriptors or buffers: a temporary shortage that says nothing of the address.
+                group.next().schedule(() -> listen(address, callback, deadline), LISTEN_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
             } else {
-                opening.failed(bound.cause());
+                callback.failed(bound.cause());
             }
         }));
     }
 
-    /** Why connections were closed. */
+    /** Counts of closed connections by reason. */
     ClosedConnections closedConnections() {
         return closedConnections;
     }
@@ -140,21 +158,21 @@
         return new ServerBootstrap().group(group).channelFactory(serverChannelFactory)
                 .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-                // Guards clients behind a crowd that connects at once: a few looks take in all of them.
+                // Many accepts at a time: clients that connect behind a crowd would otherwise wait for many iterations.
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION))
                 .handler(new AcceptFaults())
                 .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Guards memory: what is read of an unfinished request is kept in the buffers it came in. Reads
-                // on until nothing is left, so that a request and its client's closing are seen in one turn.
+                // Small buffers bound the memory, as the bytes of an unfinished request stay in the buffers that they were read to.
+                // Reads until nothing is left, so that a request and the close of its client are seen in one iteration.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator(256, 1024, MAX_READ_BYTES)
                                 .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_ITERATION))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
                         if (channel.config() instanceof DuplexChannelConfig socket) {
-                            // A client that ends its sending after its requests still hears the answers.
+                            // A client that closes its sending side after its requests still gets the replies.
                             socket.setAllowHalfClosure(true);
                         }
                         ClientConnection client = new ClientConnection();
@@ -163,7 +181,7 @@
                 }).bind(address);
     }
 
-    /** By single tasks: what a repeated one throws is told to nobody, and it is not repeated any more. */
+    /** Schedules single tasks: an exception in a repeated one would be reported to nobody and would end the repetition. */
     private void scheduleTimeoutCheck() {
         group.next().schedule(() -> {
             scheduleTimeoutCheck();
@@ -171,7 +189,7 @@
         }, TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Between a client's bytes and requests and replies. */
+    /** The handlers between the bytes of a client and its requests and replies. */
     static ChannelHandler[] codecs(int bodyLimit) {
         return new ChannelHandler[] {
             new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE, true), new RequestSizeLimiter(bodyLimit),
@@ -184,8 +202,8 @@
     }
 
     /**
-     * Stops listening and closes each client once it has its answers. Both after one more look at the sockets: guards
-     * connections and requests that wait unread while the node is short of its core.
+     * Stops listening and closes each client once it has its replies. Both happen after one more select, so that connections and
+     * requests that wait unread because the node is short of CPU are not lost.
      */
     public void close() {
         closing = true;
@@ -198,21 +216,21 @@
         });
     }
 
-    /** Guards descriptors against clients that say nothing, half a request, or stay when they have what they want. */
+    /** Closes connections that exceed a timeout: clients that send nothing or half a request, or stay idle, would use up the descriptors. */
     private void closeTimedOut() {
-        long asksBy = nowNanos() - TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MS);
-        long idleSince = nowNanos() - TimeUnit.MILLISECONDS.toNanos(IDLE_TIMEOUT_MS);
-        new ArrayList<>(clientsWithoutRequest).stream().filter(c -> c.lastActivityAt < asksBy).forEach(ClientConnection::requestTimedOut);
+        long requestCutoff = nowNanos() - TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MS);
+        long idleCutoff = nowNanos() - TimeUnit.MILLISECONDS.toNanos(IDLE_TIMEOUT_MS);
+        new ArrayList<>(clientsWithoutRequest).stream().filter(client -> client.lastActivityAt < requestCutoff).forEach(ClientConnection::requestTimedOut);
         for (ClientConnection client : new ArrayList<>(clientsWithRequest)) {
-            if (client.partialRequestLimiter.hasPartialRequest() && client.partialRequestLimiter.firstByteAt() < asksBy) {
+            if (client.partialRequestLimiter.hasPartialRequest() && client.partialRequestLimiter.firstByteAt() < requestCutoff) {
                 client.requestTimedOut();
-            } else if (!client.partialRequestLimiter.hasPartialRequest() && client.lastActivityAt < idleSince) {
+            } else if (!client.partialRequestLimiter.hasPartialRequest() && client.lastActivityAt < idleCutoff) {
                 client.scheduleClose(ClosedConnections.Reason.IDLE);
             }
         }
     }
 
-    /** Sends the replies of the turn. */
+    /** Sends the replies of the iteration. */
     public void flush() {
         List<ClientConnection> answered = new ArrayList<>(clientsAwaitingReplies);
         clientsAwaitingReplies.clear();
@@ -221,18 +239,18 @@
     }
 
     /**
-     * Guards the descriptors: surplus connections between requests are closed, those longest unused first. Those that
-     * never asked have half of the room at most, so a crowd that says nothing does not push out those that ask.
+     * Closes surplus connections that are between requests, the longest unused first, to bound the descriptors. Clients that have
+     * sent no request get at most half of the places, so that a crowd of silent ones doesn't displace those that send requests.
      */
     private void closeSurplus() {
         closeSurplus(clientsWithoutRequest, Math.max(1, maxClients / 2));
         closeSurplus(clientsWithRequest, maxClients - clientsWithoutRequest.size());
     }
 
-    private static void closeSurplus(Set<ClientConnection> among, int most) {
-        if (among.size() > most) {
-            Iterator<ClientConnection> oldest = new ArrayList<>(among).iterator();
-            while (among.size() > most && oldest.hasNext()) {
+    private static void closeSurplus(Set<ClientConnection> connections, int max) {
+        if (connections.size() > max) {
+            Iterator<ClientConnection> oldest = new ArrayList<>(connections).iterator();
+            while (connections.size() > max && oldest.hasNext()) {
                 oldest.next().scheduleClose(ClosedConnections.Reason.TOO_MANY_CONNECTIONS);
             }
         }
@@ -242,11 +260,11 @@
         final PartialRequestLimiter partialRequestLimiter = new PartialRequestLimiter(MAX_CLIENT_BYTES);
         private final List<PendingRequest> openRequests = new ArrayList<>(2);
         private ChannelHandlerContext ctx;
-        /** When it connected, or its last request was there or answered; by the loop's ticker. */
+        /** When it connected, or its last request was read or answered; nanoseconds of the loop's ticker. */
         private long lastActivityAt = nowNanos();
         private boolean closed;
         private boolean closeScheduled;
-        /** It sends nothing any more. */
+        /** The client has closed its sending side. */
         private boolean inputClosed;
         private boolean lingering;
         private ClosedConnections.Reason closeReason = ClosedConnections.Reason.CLOSED_BY_CLIENT;
@@ -256,7 +274,7 @@
             clientsWithoutRequest.add(this);
             closeSurplus();
             if (closing) {
-                // It has not been read from yet.
+                // Nothing has been read from it yet: its first request may be waiting.
                 DelayedTask.schedule(group.next(), 0, () -> scheduleClose(ClosedConnections.Reason.SHUTDOWN));
             }
         }
@@ -272,7 +290,7 @@
 
         @Override protected void channelRead0(ChannelHandlerContext context, Request request) {
             partialRequestLimiter.requestCompleted();
-            boolean last = openRequests.size() >= MAX_OPEN_REQUESTS || request instanceof Request.Malformed bad && bad.close();
+            boolean last = openRequests.size() >= MAX_OPEN_REQUESTS || request instanceof Request.Malformed malformed && malformed.close();
             if (closed || !openRequests.isEmpty() && openRequests.get(openRequests.size() - 1).last) {
                 return;
             }
@@ -287,19 +305,19 @@
             if (openRequests.isEmpty()) {
                 clientsAwaitingReplies.add(this);
             }
-            PendingRequest asked = new PendingRequest(last && !(request instanceof Request.Malformed)
+            PendingRequest pending = new PendingRequest(last && !(request instanceof Request.Malformed)
                     ? new Request.Malformed("too many requests at once", true) : request, this, last);
-            openRequests.add(asked);
-            host.onRequest(asked);
+            openRequests.add(pending);
+            host.onRequest(pending);
         }
 
         private void writeReplies() {
             boolean close = closing || inputClosed;
-            boolean unreadable = false;
-            for (PendingRequest asked : openRequests) {
-                if (asked.reply != null && !closed) {
-                    ctx.write(asked.reply);
-                    unreadable |= asked.reply instanceof Reply.Error error && error.close();
+            boolean malformed = false;
+            for (PendingRequest pending : openRequests) {
+                if (pending.reply != null && !closed) {
+                    ctx.write(pending.reply);
+                    malformed |= pending.reply instanceof Reply.Error error && error.close();
                 }
             }
             openRequests.clear();
@@ -307,13 +325,13 @@
             if (!closed) {
                 ctx.flush();
             }
-            if (close || unreadable) {
-                closeIfIdle(true, unreadable ? ClosedConnections.Reason.UNREADABLE
+            if (close || malformed) {
+                closeIfIdle(true, malformed ? ClosedConnections.Reason.UNREADABLE
                         : inputClosed ? ClosedConnections.Reason.CLOSED_BY_CLIENT : ClosedConnections.Reason.SHUTDOWN);
             }
         }
 
-        /** Half a request, or none, and its time is over. */
+        /** The time for a request is over, and half of it or nothing has come. */
         private void requestTimedOut() {
             if (partialRequestLimiter.hasPartialRequest() && openRequests.isEmpty()) {
                 ctx.writeAndFlush(new Reply.Error("request took too long", true));
@@ -325,16 +343,16 @@
         }
 
         /**
-         * Closes it unless a request has come by now: what is scheduled runs after one more look at the sockets. Guards
-         * requests that wait unread while the node is short of its core; answered by a close, they are lost.
+         * Closes the connection unless a request comes with the next select, which the scheduled task runs after. Otherwise
+         * requests that wait unread because the node is short of CPU would be answered by a close, and so be lost.
          */
         private void scheduleClose(ClosedConnections.Reason why) {
             closeScheduled = true;
-            boolean asked = clientsWithRequest.remove(this);
+            boolean hadRequest = clientsWithRequest.remove(this);
             clientsWithoutRequest.remove(this);
             ctx.executor().schedule(() -> {
                 if (closeScheduled && !closed && partialRequestLimiter.hasPartialRequest()) {
-                    (asked ? clientsWithRequest : clientsWithoutRequest).add(this);
+                    (hadRequest ? clientsWithRequest : clientsWithoutRequest).add(this);
                 } else if (closeScheduled) {
                     closeIfIdle(closing, why);
                 }
@@ -342,10 +360,10 @@
             }, 0, TimeUnit.NANOSECONDS);
         }
 
-        /** answered: it may not have read its last answer yet. */
+        /** Closes the connection if no request is open; answered: the client may not have read its last reply yet. */
         private void closeIfIdle(boolean answered, ClosedConnections.Reason why) {
-            boolean reads = partialRequestLimiter.hasPartialRequest() && clientsWithRequest.contains(this);
-            if (openRequests.isEmpty() && !closed && !reads) {
+            boolean requestArriving = partialRequestLimiter.hasPartialRequest() && clientsWithRequest.contains(this);
+            if (openRequests.isEmpty() && !closed && !requestArriving) {
                 closed = true;
                 closeReason = why;
                 partialRequestLimiter.stop();
@@ -360,8 +378,8 @@
         }
 
         /**
-         * Ends the sending and reads on until the client closes too, for a bounded time. Guards answers that it has not read
-         * yet: a close with bytes unread resets the connection, which destroys them.
+         * Closes the sending side and reads on until the client closes too, for a bounded time. A close with unread bytes resets
+         * the connection, which would destroy replies that the client has not read yet.
          */
         private void linger(DuplexChannel channel) {
             lingering = true;
@@ -384,7 +402,7 @@
             if (cause instanceof DecoderException && !closed) {
                 channelRead0(context, new Request.Malformed("malformed request", true));
             } else {
-                // What is left of half a request shows as an error when its connection closes: the reason stays the first one.
+                // The rest of half a request shows up as an error when its connection closes: the first reason is kept.
                 closeReason = closed ? closeReason : ClosedConnections.Reason.BROKEN;
                 context.close();
             }
--- a/node/src/main/java/wrenreach/net/TimedReadAllocator.java
+++ b/node/src/main/java/wrenreach/net/TimedReadAllocator.java
@@ -4,14 +4,17 @@
 import io.netty.util.concurrent.Ticker;
 
 /**
- * How much of a connection is read at once, by how long what was read took: small pieces of a long list while its code is
- * new, larger ones later. Guards all else that waits for the loop: each read is one look at the other sockets apart from the
- * next, so none of them waits for all of a long list. It aims at 2 ms a piece; the first ones of a process, and what ends a
- * list, take longer (docs/CAPACITY.md).
+ * Sizes the reads of a connection by how long the processing of the last one took: a long list is read in small pieces while the code
+ * that takes it is new to the process, and in larger ones later. The loop looks at its other sockets between two reads, so that
+ * nothing else waits for the whole of a long list. The aim is 2 ms per read; the first reads of a process, and the end of a list, take longer
+ * (docs/CAPACITY.md).
  */
 final class TimedReadAllocator extends DefaultMaxMessagesRecvByteBufAllocator {
-    private static final int MIN_READ_BYTES = 1 << 10, MAX_READ_BYTES = 32 << 10;
-    /** Nanoseconds that one piece may take: more halves the next one, under half of it doubles it. */
+    /** The size of the first read of a connection, and the least. */
+    private static final int MIN_READ_BYTES = 1 << 10;
+    /** The largest size of a read. */
+    private static final int MAX_READ_BYTES = 32 << 10;
+    /** Time that processing one read may take: a longer one halves the next read, one under half of it doubles it. */
     private static final long MAX_PROCESSING_NANOS = 2_000_000;
 
     private final Ticker ticker;
