--- a/node/src/main/java/wrenreach/net/CallCodec.java
+++ b/node/src/main/java/wrenreach/net/CallCodec.java
@@ -14,7 +14,7 @@
 
 /** Encodes a call as an HTTP request and decodes the response. */
 final class CallCodec {
-    /** Longer waits that a receiver tells are cut to one day. */
+    /** Longer waits that a receiver asks for are shortened to one day. */
     private static final long MAX_RETRY_AFTER_MS = 86_400_000;
     /** A load report with a larger value is ignored. */
     private static final double MAX_REPORTED_VALUE = 1e6;
@@ -39,6 +39,7 @@
         return request;
     }
 
+    /** The result that the protocol gives to a response, by its status and headers. */
     CallResult decode(HttpResponse response) {
         double[] report = parseLoadReport(response.headers().get("X-Load-Report"));
         return switch (response.status().code()) {
--- a/node/src/main/java/wrenreach/net/Calls.java
+++ b/node/src/main/java/wrenreach/net/Calls.java
@@ -205,7 +205,7 @@
         stagedCalls.add(call);
     }
 
-    /** A receiver has told a retry-after wait: no unsent call goes to this route before it is over. */
+    /** The receiver has asked to wait: no unsent call goes to this route before the wait is over. */
     private void setRetryAfter(Route route, long until) {
         retryAfterUntil.values().removeIf(instant -> instant <= host.iterationTime());
         retryAfterUntil.merge(route, until, Math::max);
@@ -213,7 +213,7 @@
 
     /**
      * Before the decisions run: ends staged calls that may no longer be written. While their connection was being made, their
-     * endpoint may have begun to drain or its receiver may have told a wait, the deduplication window of a repeat may have
+     * endpoint may have begun to drain, its receiver may have asked to wait, the deduplication window of a repeat may have
      * ended, or the address may have passed to another endpoint.
      */
     public void dropDisallowed() {
--- a/node/src/main/java/wrenreach/net/Discovery.java
+++ b/node/src/main/java/wrenreach/net/Discovery.java
@@ -45,7 +45,7 @@
     private static final long TCP_CONNECT_TIMEOUT_MS = 1000;
     /** Least time between two log lines on unusable lists, in microseconds. */
     private static final long LOG_INTERVAL_US = 10_000_000;
-    /** Time in which a response begins, and in which each part of a snapshot brings an entry: discovery answers at once. */
+    /** Time until a response begins, and between two entries of a snapshot: discovery answers at once. */
     private static final long RESPONSE_TIMEOUT_MS = 1000;
     /** The same after several failures: discovery answers later where many nodes ask at a time. */
     private static final long MAX_RESPONSE_TIMEOUT_MS = 2000;
@@ -53,7 +53,7 @@
     private static final int TOO_LARGE_BACKOFF_FACTOR = 30;
 
     /**
-     * The timeouts of the watch. A list update counts as told to the node within seconds, so they are short.
+     * The timeouts of the watch. A list update counts as received by the node within seconds, so they are short.
      *
      * @param silenceTimeout milliseconds after which a watch that brings nothing is closed
      * @param initialBackoff milliseconds between the first failure and the next try
@@ -61,9 +61,9 @@
      */
     public record Timeouts(long silenceTimeout, long initialBackoff, long maxBackoff) {
         /**
-         * A watch brings something every 2 s. An update that a silent one misses counts as told 6 s after it fell silent: this leaves
-         * time for a second watch that is silent from the start, and a third. What discovery has when it recovers counts as told
-         * 6 s later: the last request that fails may take the whole silence timeout, and the backoff after it leaves a second.
+         * A watch brings something every 2 s. An update that a silent one misses counts as received 6 s after it fell silent: this
+         * leaves time for a second watch that is silent from the start, and a third. What discovery has when it recovers counts as
+         * received 6 s later: the last request that fails may take the whole silence timeout, and the backoff after it leaves a second.
          */
         public static final Timeouts NODE_DEFAULTS = new Timeouts(3500, 250, 1500);
     }
@@ -101,7 +101,7 @@
     private boolean listTooLarge;
 
     /**
-     * Connects only once asked to.
+     * Requests nothing before {@link #follow} or {@link #fetchSnapshot}.
      *
      * @param index the version of the known list
      * @param indexValid whether it is one of this address
--- a/node/src/main/java/wrenreach/net/RequestDecoder.java
+++ b/node/src/main/java/wrenreach/net/RequestDecoder.java
@@ -39,6 +39,7 @@
         out.add(parse(words));
     }
 
+    /** The request of a command and its arguments; {@link Request.Malformed} where they are none. */
     static Request parse(List<ByteBuf> words) {
         String command = words.isEmpty() ? "" : decodeText(words.get(0));
         if (command.equalsIgnoreCase("PING")) {
--- a/node/src/main/java/wrenreach/net/ResponseStatusDecoder.java
+++ b/node/src/main/java/wrenreach/net/ResponseStatusDecoder.java
@@ -19,6 +19,7 @@
     /** Bytes that may come before the final status line is complete, interim responses included. */
     private static final int MAX_START_BYTES = 16 * 1024;
 
+    /** What the next bytes are: unexpected, a status line, headers of an interim response, or the rest of a response to pass on. */
     private enum State { NONE_EXPECTED, STATUS_LINE, INTERIM_HEADERS, PASS_THROUGH }
 
     private final Runnable onStatusLine;
--- a/node/src/main/java/wrenreach/net/SubmissionServer.java
+++ b/node/src/main/java/wrenreach/net/SubmissionServer.java
@@ -38,7 +38,7 @@
 public final class SubmissionServer {
     /** The protocol's limit for the body of a mail. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** The longest RESP line, such as a length or an inline command. */
+    /** The longest inline message of RESP, such as an inline command. */
     private static final int MAX_LINE_BYTES = 1024;
     /** Bytes that one read from a client's socket takes at most. */
     private static final int MAX_READ_BYTES = 16 * 1024;
--- a/node/src/test/java/wrenreach/net/CallsTest.java
+++ b/node/src/test/java/wrenreach/net/CallsTest.java
@@ -34,7 +34,7 @@
 import wrenreach.state.Mail;
 import wrenreach.state.Route;
 
-/** Calls to a receiver on loopback that the test plays itself. */
+/** Calls to a receiver on loopback, which the test itself implements. */
 class CallsTest implements Calls.Host {
     private static final long SECOND_US = 1_000_000;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -42,7 +42,7 @@
     private final Calls calls = new Calls(loop, NioSocketChannel::new, this, List.of(), 60 * SECOND_US, SECOND_US, 4);
     private final Destination destination = new Destination(1);
     private final Endpoint endpoint = new Endpoint(1, destination, 0, 0);
-    private final BlockingQueue<Outcome> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private ServerSocket receiver;
     private volatile boolean blocked;
     private volatile long iterationAgeUs;
@@ -68,22 +68,22 @@
         return iterationAgeUs;
     }
 
-    @Override public void attemptEnded(HeldMail held, DeliveryAttempt connect, Outcome outcome, double[] report, boolean over) {
-        ended.add(outcome);
+    @Override public void attemptEnded(HeldMail held, DeliveryAttempt attempt, Outcome outcome, double[] report, boolean completed) {
+        outcomes.add(outcome);
     }
 
     @Override public boolean isBlocked(HeldMail held) {
         return blocked;
     }
 
-    @Override public void beforeSend(HeldMail held, DeliveryAttempt connect) { }
+    @Override public void beforeSend(HeldMail held, DeliveryAttempt attempt) { }
 
-    private DeliveryAttempt send(long cutAfter) throws Exception {
+    private DeliveryAttempt send(long timeout) throws Exception {
         HeldMail held = new HeldMail(new Submission("a", "", "c", "t", "", 1, new byte[] {'x'}), 0);
         held.mail = new Mail(1, destination, null, 0, 0, iterationTime(), iterationTime() + 60 * SECOND_US);
-        DeliveryAttempt connect = new DeliveryAttempt(held.mail, endpoint, iterationTime(), iterationTime() + cutAfter, new Call(iterationTime()));
-        loop.submit(() -> calls.send(held, connect)).get();
-        return connect;
+        DeliveryAttempt attempt = new DeliveryAttempt(held.mail, endpoint, iterationTime(), iterationTime() + timeout, new Call(iterationTime()));
+        loop.submit(() -> calls.send(held, attempt)).get();
+        return attempt;
     }
 
     private Socket accept() throws IOException {
@@ -92,14 +92,14 @@
         return socket;
     }
 
-    /** Ends turns until the call's bytes are there. */
+    /** Ends iterations until the call's bytes come, and reads its request. */
     private void readRequest(Socket socket) throws Exception {
         while (socket.getInputStream().available() == 0) {
             endIteration();
         }
-        StringBuilder got = new StringBuilder();
-        while (!got.toString().endsWith("\r\n\r\nx")) {
-            got.append((char) socket.getInputStream().read());
+        StringBuilder request = new StringBuilder();
+        while (!request.toString().endsWith("\r\n\r\nx")) {
+            request.append((char) socket.getInputStream().read());
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     private Outcome nextOutcome() throws InterruptedException {
-        return ended.poll(20, TimeUnit.SECONDS);
+        return outcomes.poll(20, TimeUnit.SECONDS);
     }
 
     @Test void connectionIsReusedForTheNextCall() throws Exception {
@@ -135,22 +135,22 @@
         }
     }
 
-    /** Guards mails against being lost: the answer to the call before says nothing of one that was never written. */
+    /** The response to the previous call says nothing of a call that was never written: taken for relayed, its mail would be lost. */
     @ParameterizedTest
     @ValueSource(strings = {"cut", "revoked", "broken"})
-    void unsentCallOnReusedConnectionIsNotTakenForRelayed(String end) throws Exception {
+    void unsentCallOnReusedConnectionIsNotTakenForRelayed(String ending) throws Exception {
         send(30 * SECOND_US);
         try (Socket socket = accept()) {
             readRequest(socket);
             answer(socket, "HTTP/1.1 200 OK");
             assertThat(nextOutcome()).isEqualTo(new Outcome.Delivered());
             blocked = true;
-            DeliveryAttempt second = send(end.equals("cut") ? SECOND_US / 10 : 30 * SECOND_US);
+            DeliveryAttempt second = send(ending.equals("cut") ? SECOND_US / 10 : 30 * SECOND_US);
             assertThat(second.reusedConnection).isTrue();
             endIteration();
-            if (end.equals("revoked")) {
+            if (ending.equals("revoked")) {
                 loop.submit(() -> calls.cancel(second)).get();
-            } else if (end.equals("broken")) {
+            } else if (ending.equals("broken")) {
                 socket.close();
             }
             assertThat(nextOutcome().neverRan()).isTrue();
@@ -166,19 +166,19 @@
         }
     }
 
-    /** Guards final answers: what came while the process stood still is read before the time that ran out meanwhile is judged. */
+    /** Data that came while the process stood still is read before the timeouts that expired meanwhile run: a final response would be lost. */
     @Test void responseThatArrivedWhileTheLoopWasBlockedCounts() throws Exception {
         send(SECOND_US / 2);
         try (Socket socket = accept()) {
             readRequest(socket);
             CountDownLatch answered = new CountDownLatch(1);
-            // The loop stands still beyond the cut-off; the answer comes after its last look at the sockets, in the way in
-            // which a selector that wakes from a stop has seen nothing.
+            // The loop is blocked until after the timeout. The response comes after its last select, just as a selector that wakes
+            // from a stop has seen nothing.
             loop.schedule(() -> answered.await(20, TimeUnit.SECONDS), SECOND_US / 4, TimeUnit.MICROSECONDS);
             loop.execute(() -> LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1)));
-            CountDownLatch stands = new CountDownLatch(1);
-            loop.schedule(stands::countDown, 0, TimeUnit.MICROSECONDS);
-            assertThat(stands.await(20, TimeUnit.SECONDS)).isTrue();
+            CountDownLatch blockedPastTimeout = new CountDownLatch(1);
+            loop.schedule(blockedPastTimeout::countDown, 0, TimeUnit.MICROSECONDS);
+            assertThat(blockedPastTimeout.await(20, TimeUnit.SECONDS)).isTrue();
             answer(socket, "HTTP/1.1 200 OK");
             answered.countDown();
             assertThat(nextOutcome()).isEqualTo(new Outcome.Delivered());
@@ -199,7 +199,7 @@
         assertThat(nextOutcome()).isEqualTo(new Outcome.ConnectFailed());
     }
 
-    /** Guards drains: a call decided before its endpoint drained is not written after. */
+    /** A call decided before its endpoint began to drain must not be written afterwards. */
     @Test void stagedCallIsDroppedWhenItsEndpointDrains() throws Exception {
         blocked = true;
         send(30 * SECOND_US);
@@ -207,7 +207,7 @@
             endIteration();
             endpoint.ready = false;
             blocked = false;
-            while (ended.isEmpty()) {
+            while (outcomes.isEmpty()) {
                 endIteration();
             }
             assertThat(nextOutcome()).isEqualTo(new Outcome.NotSent(false));
@@ -215,15 +215,15 @@
         }
     }
 
-    /** Guards against effects twice: a repeat decided within its window is not written after, however long its connection took. */
+    /** A repeat decided within the deduplication window must not be written after it, however long connecting took: it would take effect twice. */
     @Test void repeatIsNotWrittenAfterItsDeduplicationWindow() throws Exception {
         blocked = true;
-        DeliveryAttempt connect = send(30 * SECOND_US);
+        DeliveryAttempt attempt = send(30 * SECOND_US);
         try (Socket socket = accept()) {
             endIteration();
-            connect.sendDeadline = iterationTime() - 1;
+            attempt.sendDeadline = iterationTime() - 1;
             blocked = false;
-            while (ended.isEmpty()) {
+            while (outcomes.isEmpty()) {
                 endIteration();
             }
             assertThat(nextOutcome()).isEqualTo(new Outcome.NotSent(false));
@@ -231,7 +231,7 @@
         }
     }
 
-    /** Guards told waits: a call decided before the wait came in is not written before it is over. */
+    /** A call decided before a retry-after wait came in must not be written before the wait is over. */
     @Test void stagedCallIsDroppedDuringARetryAfterWait() throws Exception {
         send(30 * SECOND_US);
         try (Socket first = accept()) {
@@ -242,7 +242,7 @@
                 answer(first, "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 15000");
                 assertThat(nextOutcome()).isEqualTo(new Outcome.Rejected(15 * SECOND_US));
                 blocked = false;
-                while (ended.isEmpty()) {
+                while (outcomes.isEmpty()) {
                     endIteration();
                 }
                 assertThat(nextOutcome()).isEqualTo(new Outcome.NotSent(false));
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Guards mails that were relayed: a first line with 200 holds whatever follows. All else counts only whole. */
+    /** A status line with 200 holds whatever follows, as the mail was relayed; any other response counts only whole. */
     @ParameterizedTest
     @CsvSource({"'200 OK\r\nContent-Length: x', Delivered", "'200 OK\r\nContent-Length: 3\r\n\r\n', Delivered",
         "'200 OK\r\nContent-Length: 3000000000\r\n\r\nxx', Delivered", "'200 OK\r\n: : :\r\n\r\n', Delivered",
@@ -271,7 +271,7 @@
         }
     }
 
-    /** Guards the next call on a connection: what follows an answer must not be taken for its own. */
+    /** Bytes after a response must not be taken for the response to the next call on the connection. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "\r\n", "x"})
     void connectionWithBytesAfterItsResponseIsNotReused(String more) throws Exception {
@@ -302,7 +302,7 @@
         }
     }
 
-    /** Guards the told wait where a turn takes long: it was counted from the turn's start, and ended too early. */
+    /** In a long iteration a retry-after wait was counted from the start of the iteration, and outcomes too early. */
     @Test void retryAfterWaitRunsFromWhenItIsReceived() throws Exception {
         send(30 * SECOND_US);
         try (Socket socket = accept()) {
@@ -313,19 +313,19 @@
         }
     }
 
-    /** Guards mails against another endpoint's receiver, which listens by now where this one did. */
+    /** At the former address the receiver of another endpoint may listen by now, which must not get the mail. */
     @Test void connectionToAFormerAddressIsNotReused() throws Exception {
-        try (ServerSocket elsewhere = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            elsewhere.setSoTimeout(20_000);
+        try (ServerSocket newReceiver = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            newReceiver.setSoTimeout(20_000);
             send(30 * SECOND_US);
-            try (Socket old = accept()) {
-                readRequest(old);
-                loop.submit(() -> calls.setAddress(endpoint, (InetSocketAddress) elsewhere.getLocalSocketAddress())).get();
-                answer(old, "HTTP/1.1 200 OK");
+            try (Socket former = accept()) {
+                readRequest(former);
+                loop.submit(() -> calls.setAddress(endpoint, (InetSocketAddress) newReceiver.getLocalSocketAddress())).get();
+                answer(former, "HTTP/1.1 200 OK");
                 assertThat(nextOutcome()).isEqualTo(new Outcome.Delivered());
-                assertThat(old.getInputStream().read()).isEqualTo(-1);
+                assertThat(former.getInputStream().read()).isEqualTo(-1);
                 send(30 * SECOND_US);
-                try (Socket moved = elsewhere.accept()) {
+                try (Socket moved = newReceiver.accept()) {
                     moved.setSoTimeout(20_000);
                     readRequest(moved);
                 }
@@ -333,65 +333,65 @@
         }
     }
 
-    /** The same where the connection was still being made: nothing is written to it. */
+    /** The same for a connection that was still being opened: nothing is written to it. */
     @Test void stagedCallToAFormerAddressIsNotSent() throws Exception {
-        try (ServerSocket elsewhere = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket newReceiver = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             blocked = true;
             send(30 * SECOND_US);
-            try (Socket old = accept()) {
+            try (Socket former = accept()) {
                 endIteration();
-                loop.submit(() -> calls.setAddress(endpoint, (InetSocketAddress) elsewhere.getLocalSocketAddress())).get();
+                loop.submit(() -> calls.setAddress(endpoint, (InetSocketAddress) newReceiver.getLocalSocketAddress())).get();
                 blocked = false;
-                while (ended.isEmpty()) {
+                while (outcomes.isEmpty()) {
                     endIteration();
                 }
                 assertThat(nextOutcome()).isEqualTo(new Outcome.NotSent(false));
-                assertThat(old.getInputStream().read()).isEqualTo(-1);
+                assertThat(former.getInputStream().read()).isEqualTo(-1);
             }
         }
     }
 
     /**
-     * Closing a connection fails its unfinished write at once. That must not reach the decisions in the middle of who closes: it is
-     * while decisions are carried out that calls are revoked.
+     * Closing a connection fails its unfinished write at once. The decisions must not hear of it within cancel, since calls are
+     * cancelled while the actions of the decisions are carried out.
      */
     @Test void cancelledCallWithAnUnfinishedWriteIsReportedInALaterTask() throws Exception {
-        try (ServerSocket small = new ServerSocket()) {
-            small.setReceiveBufferSize(1024);
-            small.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            Calls narrow = new Calls(loop, () -> {
+        try (ServerSocket narrowReceiver = new ServerSocket()) {
+            narrowReceiver.setReceiveBufferSize(1024);
+            narrowReceiver.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            Calls narrowCalls = new Calls(loop, () -> {
                 NioSocketChannel channel = new NioSocketChannel();
                 channel.config().setSendBufferSize(1024);
                 return channel;
             }, this, List.of(), 60 * SECOND_US, SECOND_US, 4);
             HeldMail held = new HeldMail(new Submission("a", "", "c", "t", "", 1, new byte[64 * 1024]), 0);
             held.mail = new Mail(1, destination, null, 0, 0, iterationTime(), iterationTime() + 60 * SECOND_US);
-            DeliveryAttempt connect = new DeliveryAttempt(held.mail, endpoint, iterationTime(), iterationTime() + 30 * SECOND_US, new Call(iterationTime()));
+            DeliveryAttempt attempt = new DeliveryAttempt(held.mail, endpoint, iterationTime(), iterationTime() + 30 * SECOND_US, new Call(iterationTime()));
             loop.submit(() -> {
-                narrow.setAddress(endpoint, (InetSocketAddress) small.getLocalSocketAddress());
-                narrow.send(held, connect);
+                narrowCalls.setAddress(endpoint, (InetSocketAddress) narrowReceiver.getLocalSocketAddress());
+                narrowCalls.send(held, attempt);
             }).get();
-            try (Socket socket = small.accept()) {
+            try (Socket socket = narrowReceiver.accept()) {
                 while (socket.getInputStream().available() == 0) {
                     loop.submit(() -> {
-                        narrow.prepareWrites();
-                        narrow.flush(iterationTime());
+                        narrowCalls.prepareWrites();
+                        narrowCalls.flush(iterationTime());
                     }).get();
                 }
                 assertThat(loop.submit(() -> {
-                    narrow.cancel(connect);
-                    return ended.size();
-                }).get()).as("ends reported before revoke has returned").isZero();
+                    narrowCalls.cancel(attempt);
+                    return outcomes.size();
+                }).get()).as("outcomes reported before cancel has returned").isZero();
                 assertThat(nextOutcome()).isEqualTo(new Outcome.ConnectFailed());
             }
         }
     }
 
     @Test void cancelledCallClosesItsConnection() throws Exception {
-        DeliveryAttempt connect = send(30 * SECOND_US);
+        DeliveryAttempt attempt = send(30 * SECOND_US);
         try (Socket socket = accept()) {
             readRequest(socket);
-            loop.submit(() -> calls.cancel(connect)).get();
+            loop.submit(() -> calls.cancel(attempt)).get();
             assertThat(nextOutcome()).isEqualTo(new Outcome.Cancelled());
             assertThat(socket.getInputStream().read()).isEqualTo(-1);
         }
--- a/node/src/test/java/wrenreach/net/CodecTest.java
+++ b/node/src/test/java/wrenreach/net/CodecTest.java
@@ -26,6 +26,7 @@
 import wrenreach.held.HeldMail;
 import wrenreach.held.Submission;
 
+/** The formats of requests and replies of clients, calls, lists, notices and addresses. */
 class CodecTest {
     private static final Submission MAIL =
             new Submission("9b1f", "7f3a", "notice", "acme", "5c0f", 7, new byte[] {0, 13, 10, -1});
@@ -71,7 +72,7 @@
         assertThat(nextRequest()).isEqualTo(new Request.Malformed("malformed fields", false));
     }
 
-    /** Guards the headers of calls: an id with a line end would write headers of its own. */
+    /** An id is sent in a header of the call, where a line end in it would begin a header of its own. */
     @Test void idWithALineEndIsRejected() {
         channel.writeInbound(bytes(enqueue("0", "a\r\nX: 1", "c=n,d=1,dest=1", "x")));
         assertThat(nextRequest()).isInstanceOf(Request.Malformed.class);
@@ -86,25 +87,25 @@
         assertThat(nextRequest()).isNull();
     }
 
-    /** Guards memory: a length or a line without end is refused before it is all there. */
+    /** A length or a line without end must be rejected before it is complete, as it would use up the memory. */
     @ParameterizedTest
     @ValueSource(strings = {"$", "*5\r\n$", "*1\r\n$3", "PING"})
     void endlessRequestIsRejected(String text) {
-        PartialRequestLimiter guard = new PartialRequestLimiter(4096);
+        PartialRequestLimiter limiter = new PartialRequestLimiter(4096);
         EmbeddedChannel client = new EmbeddedChannel();
-        client.pipeline().addLast(guard).addLast(SubmissionServer.codecs(64));
+        client.pipeline().addLast(limiter).addLast(SubmissionServer.codecs(64));
         client.writeInbound(bytes(text));
-        Object refused = null;
-        for (int i = 0; i < 5000 && refused == null; i++) {
+        Object rejection = null;
+        for (int i = 0; i < 5000 && rejection == null; i++) {
             try {
                 client.writeInbound(bytes("1"));
-                refused = client.readInbound();
+                rejection = client.readInbound();
             } catch (DecoderException e) {
-                refused = e;
+                rejection = e;
             }
         }
-        assertThat(refused).isNotNull();
-        assertThat(guard.hasPartialRequest()).isTrue();
+        assertThat(rejection).isNotNull();
+        assertThat(limiter.hasPartialRequest()).isTrue();
     }
 
     @Test void unknownCommandIsRejected() {
--- a/node/src/test/java/wrenreach/net/ConnectorTest.java
+++ b/node/src/test/java/wrenreach/net/ConnectorTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Outgoing connections: where and when their outcome is reported. */
+/** On which thread and when the result of an outgoing connection is reported. */
 class ConnectorTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -41,8 +41,8 @@
             channel.close();
         }
 
-        @Override public void failed(boolean ofThisMachine) {
-            report(ofThisMachine ? "this machine" : "the other side");
+        @Override public void failed(boolean local) {
+            report(local ? "this machine" : "the other side");
         }
     };
 
@@ -50,9 +50,9 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private void report(String what) {
+    private void report(String result) {
         events.add("reported");
-        reported.complete((loop.inEventLoop() ? "on the loop: " : "on " + Thread.currentThread().getName() + ": ") + what);
+        reported.complete((loop.inEventLoop() ? "on the loop: " : "on " + Thread.currentThread().getName() + ": ") + result);
     }
 
     private Channel open(Connector connector, int port) throws Exception {
@@ -97,6 +97,6 @@
         assertThat(Connector.isLocalFailure(new ConnectException("Connection timed out"))).isFalse();
         assertThat(Connector.isLocalFailure(new NoRouteToHostException("No route to host"))).isFalse();
         assertThat(Connector.isLocalFailure(new SocketException("Connection reset by peer"))).isFalse();
-        assertThat(Connector.isLocalFailure(new ClosedChannelException())).as("given up here").isFalse();
+        assertThat(Connector.isLocalFailure(new ClosedChannelException())).as("closed by this node").isFalse();
     }
 }
--- a/node/src/test/java/wrenreach/net/DiscoveryTest.java
+++ b/node/src/test/java/wrenreach/net/DiscoveryTest.java
@@ -27,7 +27,7 @@
 import wrenreach.endpoints.ListReader;
 import wrenreach.endpoints.ListSink;
 
-/** Following a list from an agent on loopback that the test plays itself. */
+/** Following a list from an agent on loopback, which the test itself implements. */
 class DiscoveryTest implements Discovery.Host {
     private static final int NEVER_MS = 3_600_000;
     private static final String FIRST_LIST = "{\"index\":5,\"snapshot\":true,\"endpoints\":[]}\n";
@@ -53,13 +53,13 @@
 
     @Override public void listFailed() { }
 
-    private void follow(boolean versionHolds, long silenceMs, long pauseMs) {
+    private void follow(boolean indexValid, long silenceMs, long backoffMs) {
         discovery = new Discovery(loop, NioSocketChannel::new, this, (InetSocketAddress) agent.getLocalSocketAddress(), 3,
-                versionHolds, true, 1, new Discovery.Timeouts(silenceMs, pauseMs, pauseMs));
+                indexValid, true, 1, new Discovery.Timeouts(silenceMs, backoffMs, backoffMs));
         loop.execute(discovery::follow);
     }
 
-    /** The next connection, once its request is there. */
+    /** Accepts the next connection and reads its request. */
     private Socket acceptRequest(String path) throws IOException {
         Socket socket = agent.accept();
         socket.setSoTimeout(20_000);
@@ -71,8 +71,8 @@
         return socket;
     }
 
-    private static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     private static void beginResponse(Socket watch) throws IOException {
@@ -92,7 +92,7 @@
         assertThatThrownBy(agent::accept).isInstanceOf(SocketTimeoutException.class);
     }
 
-    /** Lists may come indented, and in chunks of any size: one after the other is understood, heartbeats between them. */
+    /** Lists may be indented and split into chunks of any size: each is read, with heartbeats in between. */
     @Test void indentedListIsReadWhereverItIsSplit() throws Exception {
         String list = "{\r\n  \"index\": 6,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"a \\\"}{\",\n"
                 + "      \"address\": \"127.0.0.1:9\", \"group\": 1, \"status\": \"SERVING\"\n    }\n  ]\n}\n";
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Guards changes that came spoilt: the next watch begins at the last version understood, and what follows is not read. */
+    /** Changes in a malformed list must not be lost: the next watch begins at the last index that was read, and what follows the list is ignored. */
     @ParameterizedTest
     @ValueSource(strings = {"nonsense\n", "{\"index\":6,\"endpoi\n\n", "{\"index\":6,\n{\"index\":7,\"endpoints\":[]}\n", "{\"index\":\"six\"}\n",
         "{\"index\":6,\"endpoints\":[{\"name\":\"a\",\"group\":1,\"status\":\"SERV\"}]}\n", "{\"name\":\"cut off\n", "[]\n",
@@ -132,32 +132,32 @@
         }
     }
 
-    /** Guards drains against news of an older version: the whole list says what holds. */
+    /** An update with an older index must not undo a drain: a snapshot says what is in force. */
     @Test void olderVersionIsResolvedByASnapshot() throws Exception {
         follow(true, NEVER_MS, 2);
         try (Socket watch = acceptRequest("/api/targets?stream=1&index=3")) {
             beginResponse(watch);
             writeChunk(watch, FIRST_LIST + "{\"index\":4,\"snapshot\":false,\"endpoints\":[]}\n");
             assertThat(nextList().index()).isEqualTo(5);
-            try (Socket whole = acceptRequest("/api/targets")) {
-                write(whole, "HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
+            try (Socket snapshot = acceptRequest("/api/targets")) {
+                write(snapshot, "HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
                 assertThat(nextList()).isEqualTo(new ListUpdate(2, true, List.of()));
                 acceptRequest("/api/targets?stream=1&index=2").close();
             }
         }
     }
 
-    /** Guards the core against a whole list that can't be read and is answered at once, time and again. */
+    /** An unreadable snapshot that is served at once, again and again, must not use up the CPU. */
     @Test void unreadableSnapshotIsRequestedAgainOnlyAfterABackoff() throws Exception {
         follow(false, NEVER_MS, NEVER_MS);
-        try (Socket whole = acceptRequest("/api/targets")) {
-            write(whole, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nnonsense");
-            assertThat(whole.getInputStream().read()).isEqualTo(-1);
+        try (Socket snapshot = acceptRequest("/api/targets")) {
+            write(snapshot, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nnonsense");
+            assertThat(snapshot.getInputStream().read()).isEqualTo(-1);
             assertNoConnectionYet();
         }
     }
 
-    /** Guards against spoilt lines after sound ones: they are no reason to ask faster and faster. */
+    /** A malformed list after a valid one must not shorten the backoff. */
     @Test void malformedListIsFollowedByABackoff() throws Exception {
         follow(true, NEVER_MS, NEVER_MS);
         try (Socket watch = acceptRequest("/api/targets?stream=1&index=3")) {
@@ -168,15 +168,15 @@
         }
     }
 
-    /** The same where each watch begins with a sound list: the pauses grow until one has come to a blank line. */
+    /** The same where each watch begins with a valid list: the backoff grows until a watch has brought a blank line. */
     @Test void backoffGrowsThoughEachWatchBeginsWithAValidList() throws Exception {
         discovery = new Discovery(loop, NioSocketChannel::new, this, (InetSocketAddress) agent.getLocalSocketAddress(), 3,
                 true, true, 1, new Discovery.Timeouts(NEVER_MS, 250, NEVER_MS));
         loop.execute(discovery::follow);
-        int came = 0;
+        int connections = 0;
         try {
-            for (; came < 12; came++) {
-                try (Socket watch = acceptRequest("/api/targets?stream=1&index=" + (came == 0 ? 3 : 5))) {
+            for (; connections < 12; connections++) {
+                try (Socket watch = acceptRequest("/api/targets?stream=1&index=" + (connections == 0 ? 3 : 5))) {
                     beginResponse(watch);
                     writeChunk(watch, FIRST_LIST + "nonsense\n");
                     assertThat(watch.getInputStream().read()).isEqualTo(-1);
@@ -184,12 +184,12 @@
                 agent.setSoTimeout(1500);
             }
         } catch (SocketTimeoutException e) {
-            assertThat(came).isPositive();
+            assertThat(connections).isPositive();
         }
-        assertThat(came).isLessThan(12);
+        assertThat(connections).isLessThan(12);
     }
 
-    /** Guards what is told meanwhile: a watch that dies in the middle of a line, a byte at a time, says nothing. */
+    /** A watch that dies within an object but still sends single bytes has to be closed, or updates would be missed meanwhile. */
     @Test void bytesOfAnUnfinishedObjectDoNotKeepAWatchAlive() throws Exception {
         follow(true, 2000, 2);
         try (Socket watch = acceptRequest("/api/targets?stream=1&index=3")) {
@@ -197,23 +197,23 @@
             writeChunk(watch, FIRST_LIST + "{");
             assertThat(nextList().index()).isEqualTo(5);
             watch.setSoTimeout(20);
-            boolean over = false;
-            for (int i = 0; i < 500 && !over; i++) {
+            boolean closed = false;
+            for (int i = 0; i < 500 && !closed; i++) {
                 try {
                     writeChunk(watch, " ");
-                    over = watch.getInputStream().read() < 0;
+                    closed = watch.getInputStream().read() < 0;
                 } catch (SocketTimeoutException e) {
-                    over = false;
+                    closed = false;
                 } catch (IOException e) {
-                    over = true;
+                    closed = true;
                 }
             }
-            assertThat(over).isTrue();
+            assertThat(closed).isTrue();
             acceptRequest("/api/targets?stream=1&index=5").close();
         }
     }
 
-    /** Guards the clock of silence: who is silent right after each new connection is asked again soon, from where it stood. */
+    /** The timeout has to run from the connection on: an agent that never answers is asked again soon, from the same index. */
     @Test void unansweredWatchIsReopened() throws Exception {
         follow(true, NEVER_MS, 2);
         acceptRequest("/api/targets?stream=1&index=3");
@@ -225,7 +225,7 @@
         acceptRequest("/api/targets?stream=1&index=5").close();
     }
 
-    /** Guards against two watches, and news of the place that was left, however often and fast the address changes. */
+    /** However fast the address changes, there is one watch, and no update of a former address is used. */
     @Test void onlyTheLatestAddressIsFollowed() throws Exception {
         try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             follow(true, NEVER_MS, 2);
@@ -237,8 +237,8 @@
                 discovery.setAddress((InetSocketAddress) agent.getLocalSocketAddress());
             }).get();
             assertThat(first.getInputStream().read()).isEqualTo(-1);
-            try (Socket whole = acceptRequest("/api/targets")) {
-                write(whole, "HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
+            try (Socket snapshot = acceptRequest("/api/targets")) {
+                write(snapshot, "HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
                 assertThat(nextList()).isEqualTo(new ListUpdate(2, true, List.of()));
             }
             try (Socket watch = acceptRequest("/api/targets?stream=1&index=2")) {
--- a/node/src/test/java/wrenreach/net/NoticesTest.java
+++ b/node/src/test/java/wrenreach/net/NoticesTest.java
@@ -22,7 +22,7 @@
 import wrenreach.held.HeldMail;
 import wrenreach.held.Submission;
 
-/** Notices to a platform on loopback that the test plays itself. */
+/** Notices to a platform on loopback, which the test itself implements. */
 class NoticesTest {
     private static final long NEVER_MS = 3_600_000;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -40,12 +40,12 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private Notices notices(long pauseMs) {
+    private Notices notices(long backoffMs) {
         return new Notices(loop, NioSocketChannel::new, (InetSocketAddress) platform.getLocalSocketAddress(), acknowledged::add,
-                new Backoff(pauseMs, pauseMs, 1));
+                new Backoff(backoffMs, backoffMs, 1));
     }
 
-    /** Ends a mail. */
+    /** Ends a mail undelivered and posts its notice. */
     private void sendNotice(Notices notices, String id) throws Exception {
         HeldMail mail = new HeldMail(new Submission(id, "", "c", "t", "", 1, new byte[0]), 0);
         mail.ending = new Ending(false, 0);
@@ -57,11 +57,11 @@
 
     private static void readNotice(Socket socket, String id) throws IOException {
         socket.setSoTimeout(20_000);
-        StringBuilder got = new StringBuilder();
-        while (!got.toString().endsWith("{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}\n")) {
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith("{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}\n")) {
             int c = socket.getInputStream().read();
-            assertThat(c).as("in %s", got).isNotNegative();
-            got.append((char) c);
+            assertThat(c).as("in %s", received).isNotNegative();
+            received.append((char) c);
         }
     }
 
@@ -69,7 +69,7 @@
         socket.getOutputStream().write("HTTP/1.1 204 OK\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Guards endings against a connection that was closed as it stood idle: there is no time for a pause. */
+    /** The platform may close an idle connection; the endings on it leave no time for a backoff. */
     @Test void brokenIdleConnectionIsReplacedAtOnce() throws Exception {
         Notices notices = notices(NEVER_MS);
         sendNotice(notices, "a");
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Guards endings against a connection that says nothing: another is tried while there is time, and the first is closed. */
+    /** A post without a response is repeated on another connection while there is time, and the first connection is closed. */
     @Test void unansweredPostIsSentAgain() throws Exception {
         Notices notices = notices(2);
         sendNotice(notices, "a");
--- a/node/src/test/java/wrenreach/net/SubmissionServerTest.java
+++ b/node/src/test/java/wrenreach/net/SubmissionServerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The ingress listener: each close of a client's connection has a reason, and what was read before it has its answer. */
+/** The listener for clients: each closed connection is counted with its reason, and requests read before the close are answered. */
 class SubmissionServerTest implements SubmissionServer.Host {
     private static final int MAX_CLIENTS = 8;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -30,8 +30,8 @@
     private final CompletableFuture<InetSocketAddress> listenAddress = new CompletableFuture<>();
     private final List<Socket> clients = new ArrayList<>();
 
-    @Override public void onRequest(SubmissionServer.PendingRequest asked) {
-        asked.reply(asked.request instanceof Request.Malformed bad ? new Reply.Error(bad.reason(), true) : new Reply.Pong());
+    @Override public void onRequest(SubmissionServer.PendingRequest pending) {
+        pending.reply(pending.request instanceof Request.Malformed malformed ? new Reply.Error(malformed.reason(), true) : new Reply.Pong());
         loop.execute(server::flush);
     }
 
@@ -57,22 +57,22 @@
     }
 
     private Socket connect(String text) throws Exception {
-        InetSocketAddress at = listenAddress.get(20, TimeUnit.SECONDS);
-        Socket socket = new Socket(at.getAddress(), at.getPort());
+        InetSocketAddress address = listenAddress.get(20, TimeUnit.SECONDS);
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(20_000);
         clients.add(socket);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         return socket;
     }
 
-    /** All that comes until the connection is closed. */
+    /** Reads everything until the connection is closed. */
     private static String readToEnd(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
     private void awaitClosed(ClosedConnections.Reason reason, int count) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (total(reason) < count && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (total(reason) < count && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
         assertThat(total(reason)).as(reason.toString()).isEqualTo(count);
@@ -102,11 +102,11 @@
         awaitClosed(ClosedConnections.Reason.IDLE, 1);
     }
 
-    /** One that stops in the middle of a request and stays hears an error within the 3 s that it is owed. */
+    /** A client that stops in the middle of a request and stays connected is owed an error within 3 s. */
     @Test void unfinishedRequestIsAnsweredWithAnErrorInTime() throws Exception {
-        long begin = System.nanoTime();
+        long startedAt = System.nanoTime();
         assertThat(readToEnd(connect("*5\r\n$7\r\nENQ"))).startsWith("-ERR");
-        assertThat(System.nanoTime() - begin).isLessThan(TimeUnit.SECONDS.toNanos(3));
+        assertThat(System.nanoTime() - startedAt).isLessThan(TimeUnit.SECONDS.toNanos(3));
         awaitClosed(ClosedConnections.Reason.REQUEST_TOO_SLOW, 1);
     }
 
@@ -119,7 +119,7 @@
         for (int i = 0; i < 2 * MAX_CLIENTS; i++) {
             connect("");
         }
-        // Those that never asked have half of the room.
+        // Clients that have sent no request get half of the places.
         awaitClosed(ClosedConnections.Reason.TOO_MANY_CONNECTIONS, 2 * MAX_CLIENTS - MAX_CLIENTS / 2);
     }
 
@@ -134,10 +134,10 @@
     }
 
     @Test void addressInUseIsReportedOnTheLoop() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             CompletableFuture<Boolean> onLoop = new CompletableFuture<>();
             SubmissionServer second = new SubmissionServer(group, NioServerSocketChannel::new, this, MAX_CLIENTS);
-            loop.submit(() -> second.open((InetSocketAddress) taken.getLocalSocketAddress(), new SubmissionServer.ListenCallback() {
+            loop.submit(() -> second.open((InetSocketAddress) occupied.getLocalSocketAddress(), new SubmissionServer.ListenCallback() {
                 @Override public void opened(InetSocketAddress at) {
                     onLoop.completeExceptionally(new AssertionError("opened"));
                 }
