--- a/node/src/main/java/wrenreach/net/Notices.java
+++ b/node/src/main/java/wrenreach/net/Notices.java
@@ -233,7 +233,7 @@
             if (ctx.channel() == channel) {
                 channel = null;
                 if (!inFlight.isEmpty() && connectionProven) {
-                    // The platform closed an idle connection: a new one is opened at once, as the endings have no time for a backoff.
+                    // The connection was closed while it was idle: a new one is opened at once, as the endings have no time for a backoff.
                     dropConnection();
                     flush();
                 } else if (!inFlight.isEmpty()) {
--- a/node/src/main/java/wrenreach/net/TimedReadAllocator.java
+++ b/node/src/main/java/wrenreach/net/TimedReadAllocator.java
@@ -6,8 +6,8 @@
 /**
  * Sizes the reads of a connection by how long the processing of the last one took: a long list is read in small pieces while the code
  * that takes it is new to the process, and in larger ones later. The loop looks at its other sockets between two reads, so that
- * nothing else waits for the whole of a long list. The aim is 2 ms per read; the first reads of a process, and the end of a list, take longer
- * (docs/CAPACITY.md).
+ * nothing else waits for the whole of a long list. The aim is 2 ms per read; the first reads of a process, and the end of a list,
+ * take longer (docs/CAPACITY.md).
  */
 final class TimedReadAllocator extends DefaultMaxMessagesRecvByteBufAllocator {
     /** The size of the first read of a connection, and the least. */
--- a/node/src/test/java/wrenreach/net/NoticesTest.java
+++ b/node/src/test/java/wrenreach/net/NoticesTest.java
@@ -69,7 +69,7 @@
         socket.getOutputStream().write("HTTP/1.1 204 OK\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The platform may close an idle connection; the endings on it leave no time for a backoff. */
+    /** A connection may have been closed while idle. Its endings leave no time for a backoff, so a new one is opened at once. */
     @Test void brokenIdleConnectionIsReplacedAtOnce() throws Exception {
         Notices notices = notices(NEVER_MS);
         sendNotice(notices, "a");
