--- a/lab/src/main/java/wrenreach/lab/Baseline.java
+++ b/lab/src/main/java/wrenreach/lab/Baseline.java
@@ -27,40 +27,40 @@
  * breaker at most as the source has it. What may have run goes again only where mails may.
  */
 final class Baseline implements Dispatcher {
-    private record Again(long at, Mail mail) { }
+    private record Retry(long at, Mail mail) { }
 
     /** The source's figures: failures in a row that open, successes in a row that close. */
-    private static final int OPENS = 8, CLOSES = 2;
+    private static final int FAILURES_TO_OPEN = 8, SUCCESSES_TO_CLOSE = 2;
 
     private final Settings settings;
     /** How long an open breaker rests, in microseconds; 0: there is none. */
-    private final long breakerRest;
-    private final int tries;
-    private final long rest;
-    private final PriorityQueue<Again> resting = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
+    private final long breakerCoolDown;
+    private final int maxAttempts;
+    private final long retryDelay;
+    private final PriorityQueue<Retry> scheduledRetries = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
             : Long.compare(a.mail.sequence, b.mail.sequence));
-    private final List<Mail> waiting = new ArrayList<>();
-    private List<Action> answers = new ArrayList<>();
+    private final List<Mail> pending = new ArrayList<>();
+    private List<Action> actions = new ArrayList<>();
     private long sequence;
-    private long turns;
+    private long roundRobinIndex;
     private long wakeAt = Long.MIN_VALUE;
-    private int out;
+    private int inFlight;
 
     /** tries: connects that a mail may have; rest: microseconds between them; breakerRest: 0 without a breaker. */
     private Baseline(Settings settings, int tries, long rest, long breakerRest) {
-        this.breakerRest = breakerRest;
+        this.breakerCoolDown = breakerRest;
         this.settings = settings;
-        this.tries = tries;
-        this.rest = rest;
+        this.maxAttempts = tries;
+        this.retryDelay = rest;
     }
 
     /** One try a mail. */
-    static Baseline oneTry(Settings settings) {
+    static Baseline singleAttempt(Settings settings) {
         return new Baseline(settings, 1, 0, 0);
     }
 
     /** As many tries as the settings allow, a quarter of the target delay apart. */
-    static Baseline fixedRests(Settings settings) {
+    static Baseline fixedDelayRetries(Settings settings) {
         return new Baseline(settings, settings.attemptLimit(), settings.classes().get(0).targetDelay() / 4, 0);
     }
 
@@ -69,98 +69,98 @@
      * probe at a time through until two in a row succeed. Meanwhile mails wait. Its rest of 300 s would outlast every mail;
      * here it is a quarter of the first class's lifetime.
      */
-    static Baseline plainBreaker(Settings settings) {
+    static Baseline withCircuitBreaker(Settings settings) {
         return new Baseline(settings, settings.attemptLimit(), settings.classes().get(0).targetDelay() / 4,
                 settings.classes().get(0).lifetime() / 4);
     }
 
     /** By the name that tables show; the module itself is among them. */
-    static Map<String, Function<Settings, Dispatcher>> all() {
+    static Map<String, Function<Settings, Dispatcher>> byName() {
         Map<String, Function<Settings, Dispatcher>> all = new LinkedHashMap<>();
         all.put("wrenreach", DeliveryDispatcher::new);
-        all.put("one try", Baseline::oneTry);
-        all.put("fixed rests", Baseline::fixedRests);
-        all.put("plain breaker", Baseline::plainBreaker);
+        all.put("one try", Baseline::singleAttempt);
+        all.put("fixed rests", Baseline::fixedDelayRetries);
+        all.put("plain breaker", Baseline::withCircuitBreaker);
         return all;
     }
 
-    private boolean passes(CircuitBreakerState breaker, long now) {
+    private boolean breakerAllows(CircuitBreakerState breaker, long now) {
         if (breaker.phase == CircuitBreakerState.Phase.OPEN && now >= breaker.openUntil) {
             breaker.phase = CircuitBreakerState.Phase.HALF_OPEN;
             breaker.successfulTrials = 0;
         }
-        return breakerRest == 0 || breaker.phase == CircuitBreakerState.Phase.CLOSED
+        return breakerCoolDown == 0 || breaker.phase == CircuitBreakerState.Phase.CLOSED
                 || breaker.phase == CircuitBreakerState.Phase.HALF_OPEN && breaker.trial == null;
     }
 
     /** What a connect's end means to its breaker: told waits and what never came to be a call mean nothing. */
-    private void heard(DeliveryAttempt connect, Outcome outcome, long now) {
+    private void updateBreaker(DeliveryAttempt connect, Outcome outcome, long now) {
         CircuitBreakerState breaker = connect.endpoint.route.breaker;
         boolean trial = breaker.trial == connect;
         breaker.trial = trial ? null : breaker.trial;
         boolean ok = outcome instanceof Outcome.Delivered;
-        if (breakerRest == 0 || outcome instanceof Outcome.Rejected || outcome instanceof Outcome.Cancelled
+        if (breakerCoolDown == 0 || outcome instanceof Outcome.Rejected || outcome instanceof Outcome.Cancelled
                 || outcome instanceof Outcome.NotSent || outcome instanceof Outcome.LocalFault) {
             return;
         }
         if (breaker.phase == CircuitBreakerState.Phase.HALF_OPEN) {
             if (!ok) {
-                open(breaker, now);
-            } else if (++breaker.successfulTrials >= CLOSES) {
+                openBreaker(breaker, now);
+            } else if (++breaker.successfulTrials >= SUCCESSES_TO_CLOSE) {
                 breaker.phase = CircuitBreakerState.Phase.CLOSED;
                 breaker.consecutiveFailures = 0;
             }
         } else if (ok) {
             breaker.consecutiveFailures = 0;
-        } else if (breaker.phase == CircuitBreakerState.Phase.CLOSED && ++breaker.consecutiveFailures >= OPENS) {
-            open(breaker, now);
+        } else if (breaker.phase == CircuitBreakerState.Phase.CLOSED && ++breaker.consecutiveFailures >= FAILURES_TO_OPEN) {
+            openBreaker(breaker, now);
         }
     }
 
-    private void open(CircuitBreakerState breaker, long now) {
+    private void openBreaker(CircuitBreakerState breaker, long now) {
         breaker.phase = CircuitBreakerState.Phase.OPEN;
-        breaker.openUntil = now + breakerRest;
+        breaker.openUntil = now + breakerCoolDown;
         breaker.consecutiveFailures = 0;
     }
 
     @Override public List<Action> admit(Mail mail, long now) {
         mail.sequence = sequence++;
-        waiting.add(mail);
-        return take();
+        pending.add(mail);
+        return takeActions();
     }
 
     @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-        out--;
+        inFlight--;
         connect.open = false;
         connect.endpoint.inFlight--;
         connect.neverRan = outcome.neverRan();
-        heard(connect, outcome, now);
+        updateBreaker(connect, outcome, now);
         Mail mail = connect.mail;
         if (done || mail.finished) {
             mail.finished = true;
-            return take();
+            return takeActions();
         }
         boolean mayGo = outcome.neverRan()
                 || settings.classes().get(mail.queueClass).effect() == Settings.Effect.REDELIVERABLE;
-        if (mayGo && mail.attempts.size() < tries && now + rest < mail.deadline) {
-            resting.add(new Again(now + rest, mail));
+        if (mayGo && mail.attempts.size() < maxAttempts && now + retryDelay < mail.deadline) {
+            scheduledRetries.add(new Retry(now + retryDelay, mail));
         } else {
-            end(mail, outcome.neverRan());
+            finish(mail, outcome.neverRan());
         }
-        return take();
+        return takeActions();
     }
 
-    private void end(Mail mail, boolean harmless) {
+    private void finish(Mail mail, boolean harmless) {
         if (!mail.finished) {
             mail.finished = true;
             boolean ran = mail.attempts.stream().anyMatch(c -> !c.neverRan);
-            answers.add(harmless && !ran ? new Action.Defer(mail, 0) : new Action.Bounce(mail));
+            actions.add(harmless && !ran ? new Action.Defer(mail, 0) : new Action.Bounce(mail));
         }
     }
 
     @Override public List<Action> withdrawn(Mail mail, long now) {
         mail.finished = true;
-        return take();
+        return takeActions();
     }
 
     @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
@@ -182,20 +182,20 @@
             }
             e.ready = entry.state() == EndpointUpdate.State.READY;
         }
-        return take();
+        return takeActions();
     }
 
     @Override public List<Action> nextActions(long now) {
-        while (!resting.isEmpty() && resting.peek().at <= now) {
-            waiting.add(resting.poll().mail);
+        while (!scheduledRetries.isEmpty() && scheduledRetries.peek().at <= now) {
+            pending.add(scheduledRetries.poll().mail);
         }
-        for (Iterator<Mail> mails = waiting.iterator(); mails.hasNext();) {
+        for (Iterator<Mail> mails = pending.iterator(); mails.hasNext();) {
             Mail mail = mails.next();
             if (mail.finished || mail.deadline <= now) {
                 mails.remove();
-                end(mail, true);
-            } else if (out < settings.inFlightLimit()) {
-                Endpoint to = choose(mail.destination, now);
+                finish(mail, true);
+            } else if (inFlight < settings.inFlightLimit()) {
+                Endpoint to = chooseEndpoint(mail.destination, now);
                 if (to != null) {
                     mails.remove();
                     send(mail, to, now);
@@ -203,19 +203,19 @@
             }
         }
         // One wake at a time: each brings a turn, and each turn asks here.
-        if (wakeAt <= now && !(waiting.isEmpty() && resting.isEmpty())) {
+        if (wakeAt <= now && !(pending.isEmpty() && scheduledRetries.isEmpty())) {
             wakeAt = now + settings.tick();
-            answers.add(new Action.WakeUp(settings.tick()));
+            actions.add(new Action.WakeUp(settings.tick()));
         }
-        return take();
+        return takeActions();
     }
 
-    private Endpoint choose(Destination to, long now) {
-        if (!to.routes.isEmpty() && !passes(to.routes.get(0).breaker, now)) {
+    private Endpoint chooseEndpoint(Destination to, long now) {
+        if (!to.routes.isEmpty() && !breakerAllows(to.routes.get(0).breaker, now)) {
             return null;
         }
         List<Endpoint> ready = to.endpoints.stream().filter(e -> e.ready).toList();
-        return ready.isEmpty() ? null : ready.get((int) (turns++ % ready.size()));
+        return ready.isEmpty() ? null : ready.get((int) (roundRobinIndex++ % ready.size()));
     }
 
     private void send(Mail mail, Endpoint to, long now) {
@@ -224,14 +224,14 @@
         mail.attempts.add(connect);
         CircuitBreakerState breaker = to.route.breaker;
         breaker.trial = breaker.phase == CircuitBreakerState.Phase.HALF_OPEN ? connect : breaker.trial;
-        out++;
+        inFlight++;
         to.inFlight++;
-        answers.add(new Action.Send(connect));
+        actions.add(new Action.Send(connect));
     }
 
-    private List<Action> take() {
-        List<Action> taken = answers;
-        answers = new ArrayList<>();
+    private List<Action> takeActions() {
+        List<Action> taken = actions;
+        actions = new ArrayList<>();
         return taken;
     }
 }
--- a/lab/src/main/java/wrenreach/lab/Clients.java
+++ b/lab/src/main/java/wrenreach/lab/Clients.java
@@ -15,65 +15,65 @@
  * of the one before. The front notices late that a node has died.
  */
 final class Clients {
-    private static final long MS = 1_000_000, PATIENCE = 400 * MS, FRONT_NOTICES = 1500 * MS;
+    private static final long NS_PER_MS = 1_000_000, REPLY_TIMEOUT_NS = 400 * NS_PER_MS, FAILOVER_DELAY_NS = 1500 * NS_PER_MS;
     /** Keys a node: so that each of them has some. */
-    private static final int KEYS = 20;
+    private static final int KEYS_PER_NODE = 20;
 
     private final class Mail {
-        final String base;
+        final String idPrefix;
         final int queueClass;
         final int destination;
         final String key;
-        final long until;
-        int tries;
+        final long deadline;
+        int submissions;
 
         Mail(String base, int queueClass, int destination, String key, long until) {
-            this.base = base;
+            this.idPrefix = base;
             this.queueClass = queueClass;
             this.destination = destination;
             this.key = key;
-            this.until = until;
+            this.deadline = until;
         }
     }
 
     private final World world;
     private final int destinations;
     private final List<Scenario.QueueClass> classes;
-    private final int shares;
+    private final int shareSum;
     private final Network.Party party = new Network.Party("clients");
-    private final Map<String, Deque<Mail>> keys = new HashMap<>();
+    private final Map<String, Deque<Mail>> queuesByKey = new HashMap<>();
     private final Map<String, Long> diedAt = new HashMap<>();
-    private int made;
+    private int mailCount;
     private int port = 1024;
 
     Clients(World world, int destinations, List<Scenario.QueueClass> classes) {
         this.world = world;
         this.destinations = destinations;
         this.classes = classes;
-        shares = classes.stream().mapToInt(Scenario.QueueClass::share).sum();
+        shareSum = classes.stream().mapToInt(Scenario.QueueClass::share).sum();
     }
 
     /** Hands in mails at this rate (a second) until that instant. */
-    void come(double rate, long until) {
-        long next = world.now() + world.after(1e9 / rate);
+    void submitMails(double rate, long until) {
+        long next = world.now() + world.nextExponential(1e9 / rate);
         if (next < until) {
-            world.at(next, () -> {
-                String key = "k" + world.below(KEYS * world.nodes.size());
+            world.scheduleAt(next, () -> {
+                String key = "k" + world.nextIntBelow(KEYS_PER_NODE * world.nodes.size());
                 int queueClass = drawClass();
-                Mail mail = new Mail("m" + made++, queueClass, world.below(destinations), key,
-                        world.now() + classes.get(queueClass).lifetimeMs() * MS);
-                Deque<Mail> line = keys.computeIfAbsent(key, k -> new ArrayDeque<>());
+                Mail mail = new Mail("m" + mailCount++, queueClass, world.nextIntBelow(destinations), key,
+                        world.now() + classes.get(queueClass).lifetimeMs() * NS_PER_MS);
+                Deque<Mail> line = queuesByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
                 line.addLast(mail);
                 if (line.size() == 1) {
-                    handIn(mail);
+                    submit(mail);
                 }
-                come(rate, until);
+                submitMails(rate, until);
             });
         }
     }
 
     private int drawClass() {
-        int at = classes.size() > 1 ? world.below(shares) : 0;
+        int at = classes.size() > 1 ? world.nextIntBelow(shareSum) : 0;
         int queueClass = 0;
         while (at >= classes.get(queueClass).share()) {
             at -= classes.get(queueClass++).share();
@@ -81,7 +81,7 @@
         return queueClass;
     }
 
-    private FleetNode choose(String key) {
+    private FleetNode chooseNode(String key) {
         List<FleetNode> known = new ArrayList<>();
         for (FleetNode node : world.nodes) {
             if (node.up()) {
@@ -89,7 +89,7 @@
             } else {
                 diedAt.putIfAbsent(node.name, world.now());
             }
-            if (node.up() || world.now() - diedAt.get(node.name) < FRONT_NOTICES) {
+            if (node.up() || world.now() - diedAt.get(node.name) < FAILOVER_DELAY_NS) {
                 known.add(node);
             }
         }
@@ -99,40 +99,40 @@
         return from.contains(own) ? own : from.get(Math.floorMod(key.hashCode(), from.size()));
     }
 
-    private void done(Mail mail) {
-        Deque<Mail> line = keys.get(mail.key);
+    private void finish(Mail mail) {
+        Deque<Mail> line = queuesByKey.get(mail.key);
         line.remove(mail);
         if (!line.isEmpty()) {
-            handIn(line.peekFirst());
+            submit(line.peekFirst());
         }
     }
 
-    private void handIn(Mail mail) {
-        long left = (mail.until - world.now()) / MS;
+    private void submit(Mail mail) {
+        long left = (mail.deadline - world.now()) / NS_PER_MS;
         if (left <= 0) {
-            done(mail);
+            finish(mail);
             return;
         }
-        String id = mail.base + "." + mail.tries++;
-        FleetNode node = choose(mail.key);
-        world.record(new Fact.HandedIn(world.now(), id, node.name, mail.queueClass, mail.destination, mail.key, mail.base, mail.until));
-        String fields = "c=" + classes.get(mail.queueClass).name() + ",t=shop,d=" + left + ",k=" + mail.base + ",dest=" + mail.destination
-                + (mail.tries > 1 ? ",r=1" : "");
+        String id = mail.idPrefix + "." + mail.submissions++;
+        FleetNode node = chooseNode(mail.key);
+        world.record(new Fact.HandedIn(world.now(), id, node.name, mail.queueClass, mail.destination, mail.key, mail.idPrefix, mail.deadline));
+        String fields = "c=" + classes.get(mail.queueClass).name() + ",t=shop,d=" + left + ",k=" + mail.idPrefix + ",dest=" + mail.destination
+                + (mail.submissions > 1 ? ",r=1" : "");
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", mail.key, id, fields, "body of " + id)) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
-        Waiting waiting = new Waiting(mail, id, node);
-        world.later(PATIENCE, waiting::gaveUp);
+        PendingRequest waiting = new PendingRequest(mail, id, node);
+        world.scheduleIn(REPLY_TIMEOUT_NS, waiting::timedOut);
         world.network.connect(party, new InetSocketAddress("127.0.0.1", 1024 + port++ % 60_000), node.address,
-                new Network.Connecting() {
+                new Network.ConnectHandler() {
             @Override public Network.End opened(Network.Link link) {
                 waiting.link = link;
-                if (waiting.over) {
+                if (waiting.finished) {
                     link.close(null);
                 } else {
                     // The end is known to the link once this returns.
-                    world.at(world.now(), () -> link.send(waiting, request.toString().getBytes(StandardCharsets.US_ASCII)));
+                    world.scheduleAt(world.now(), () -> link.send(waiting, request.toString().getBytes(StandardCharsets.US_ASCII)));
                 }
                 return waiting;
             }
@@ -144,15 +144,15 @@
     }
 
     /** One request under way. */
-    private final class Waiting implements Network.End {
+    private final class PendingRequest implements Network.End {
         private final Mail mail;
         private final String id;
         private final FleetNode node;
         private final StringBuilder text = new StringBuilder();
         private Network.Link link;
-        private boolean over;
+        private boolean finished;
 
-        Waiting(Mail mail, String id, FleetNode node) {
+        PendingRequest(Mail mail, String id, FleetNode node) {
             this.mail = mail;
             this.id = id;
             this.node = node;
@@ -177,24 +177,24 @@
             answered("NONE", 50);
         }
 
-        void gaveUp() {
+        void timedOut() {
             answered("NONE", 0);
         }
 
         /** againMs: when to hand in again after a refusal or silence. */
         void answered(String answer, int againMs) {
-            if (over) {
+            if (finished) {
                 return;
             }
-            over = true;
+            finished = true;
             world.record(new Fact.Answered(world.now(), id, node.name, answer));
             if (link != null) {
                 link.close(this);
             }
             if (answer.equals("OK") || answer.equals("ERR")) {
-                done(mail);
+                finish(mail);
             } else {
-                world.later((againMs + world.below(1 + againMs / 2)) * MS, () -> handIn(mail));
+                world.scheduleIn((againMs + world.nextIntBelow(1 + againMs / 2)) * NS_PER_MS, () -> submit(mail));
             }
         }
     }
--- a/lab/src/main/java/wrenreach/lab/Figures.java
+++ b/lab/src/main/java/wrenreach/lab/DeliveryMetrics.java
@@ -16,23 +16,23 @@
  * the mails handed in; delivered importance: what of it was worth at its delivery. Delays run from the instant at which the
  * writer had the mail ready, whatever became of those before, to its delivery, in microseconds.
  */
-record Figures(int mails, int delivered, int inTime, double importance, double deliveredImportance, int calls, int broken,
-               Histogram delays, List<Point> breakers) {
+record DeliveryMetrics(int mails, int delivered, int inTime, double importance, double deliveredImportance, int calls, int violations,
+               Histogram delays, List<BreakerCounts> breakerHistory) {
     /** How many breakers were not closed from that instant on, in nanoseconds since the world's begin. */
-    record Point(long at, int open, int halfOpen) { }
+    record BreakerCounts(long at, int open, int halfOpen) { }
 
     /** An hour, to a thousandth. */
-    static Histogram histogram() {
+    static Histogram newDelayHistogram() {
         return new Histogram(3_600_000_000L, 3);
     }
 
-    static Figures of(List<Fact> facts, Settings settings, int broken) {
+    static DeliveryMetrics of(List<Fact> facts, Settings settings, int broken) {
         Map<String, Fact.HandedIn> first = new HashMap<>();
         Map<String, Fact.HandedIn> mailOf = new HashMap<>();
         Map<String, CircuitBreakerState.Phase> phases = new HashMap<>();
         Set<String> done = new HashSet<>();
-        List<Point> breakers = new ArrayList<>();
-        Histogram delays = histogram();
+        List<BreakerCounts> breakers = new ArrayList<>();
+        Histogram delays = newDelayHistogram();
         int calls = 0;
         int inTime = 0;
         int open = 0;
@@ -54,36 +54,36 @@
                 delays.recordValue(Math.min(delay, delays.getHighestTrackableValue()));
                 Settings.QueueClass queueClass = settings.classes().get(mail.queueClass());
                 inTime += delay <= queueClass.targetDelay() ? 1 : 0;
-                worth += worth(queueClass, delay);
+                worth += valueAtDelivery(queueClass, delay);
             } else if (fact instanceof Fact.Turned turned) {
                 CircuitBreakerState.Phase was = phases.put(turned.node() + "/" + turned.route(), turned.phase());
-                open += count(turned.phase(), CircuitBreakerState.Phase.OPEN) - count(was, CircuitBreakerState.Phase.OPEN);
-                halfOpen += count(turned.phase(), CircuitBreakerState.Phase.HALF_OPEN) - count(was, CircuitBreakerState.Phase.HALF_OPEN);
-                breakers.add(new Point(turned.at(), open, halfOpen));
+                open += oneIfEqual(turned.phase(), CircuitBreakerState.Phase.OPEN) - oneIfEqual(was, CircuitBreakerState.Phase.OPEN);
+                halfOpen += oneIfEqual(turned.phase(), CircuitBreakerState.Phase.HALF_OPEN) - oneIfEqual(was, CircuitBreakerState.Phase.HALF_OPEN);
+                breakers.add(new BreakerCounts(turned.at(), open, halfOpen));
             }
         }
-        return new Figures(first.size(), done.size(), inTime, importance, worth, calls, broken, delays, breakers);
+        return new DeliveryMetrics(first.size(), done.size(), inTime, importance, worth, calls, broken, delays, breakers);
     }
 
-    private static int count(CircuitBreakerState.Phase is, CircuitBreakerState.Phase asked) {
+    private static int oneIfEqual(CircuitBreakerState.Phase is, CircuitBreakerState.Phase asked) {
         return is == asked ? 1 : 0;
     }
 
     /** What a mail is worth that is delivered so late: its importance up to the target, then evenly less up to its lifetime. */
-    static double worth(Settings.QueueClass c, long delay) {
+    static double valueAtDelivery(Settings.QueueClass c, long delay) {
         double late = c.lifetime() == c.targetDelay() ? 1 : Math.max(0, delay - c.targetDelay())
                 / (double) (c.lifetime() - c.targetDelay());
         return c.importance() * (1 - (1 - c.lateImportanceShare()) * Math.min(1, late));
     }
 
     /** Several days as one; the breakers are those of the first. */
-    static Figures together(List<Figures> days) {
-        Histogram delays = histogram();
+    static DeliveryMetrics merge(List<DeliveryMetrics> days) {
+        Histogram delays = newDelayHistogram();
         days.forEach(day -> delays.add(day.delays));
-        return new Figures(days.stream().mapToInt(Figures::mails).sum(), days.stream().mapToInt(Figures::delivered).sum(),
-                days.stream().mapToInt(Figures::inTime).sum(), days.stream().mapToDouble(Figures::importance).sum(),
-                days.stream().mapToDouble(Figures::deliveredImportance).sum(), days.stream().mapToInt(Figures::calls).sum(),
-                days.stream().mapToInt(Figures::broken).sum(), delays, days.get(0).breakers);
+        return new DeliveryMetrics(days.stream().mapToInt(DeliveryMetrics::mails).sum(), days.stream().mapToInt(DeliveryMetrics::delivered).sum(),
+                days.stream().mapToInt(DeliveryMetrics::inTime).sum(), days.stream().mapToDouble(DeliveryMetrics::importance).sum(),
+                days.stream().mapToDouble(DeliveryMetrics::deliveredImportance).sum(), days.stream().mapToInt(DeliveryMetrics::calls).sum(),
+                days.stream().mapToInt(DeliveryMetrics::violations).sum(), delays, days.get(0).breakerHistory);
     }
 
     double deliveredShare() {
@@ -99,23 +99,23 @@
         return importance == 0 ? 0 : deliveredImportance / importance;
     }
 
-    double triesAMail() {
+    double callsPerMail() {
         return calls / (double) Math.max(1, mails);
     }
 
     /** A percentile of the delays in milliseconds. */
-    double delayMs(double percentile) {
+    double delayPercentileMs(double percentile) {
         return delays.getValueAtPercentile(percentile) / 1000.0;
     }
 
     /** One line of a table. */
-    String line(String name) {
+    String tableRow(String name) {
         return String.format(Locale.ROOT, "%-26s %7d %9.1f%% %9.1f%% %9.1f%% %9.1f %9.1f %9.2f %7d", name, mails,
-                100 * deliveredShare(), 100 * inTimeShare(), 100 * importanceShare(), delayMs(50), delayMs(99), triesAMail(), broken);
+                100 * deliveredShare(), 100 * inTimeShare(), 100 * importanceShare(), delayPercentileMs(50), delayPercentileMs(99), callsPerMail(), violations);
     }
 
     /** The head of such a table. */
-    static String head(String kind) {
+    static String tableHeader(String kind) {
         return String.format(Locale.ROOT, "%-26s %7s %10s %10s %10s %9s %9s %9s %7s", kind, "mails", "delivered", "in time",
                 "importance", "p50 ms", "p99 ms", "calls", "breaks");
     }
--- a/lab/src/main/java/wrenreach/lab/WireChannel.java
+++ b/lab/src/main/java/wrenreach/lab/EmulatedChannel.java
@@ -22,18 +22,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** A node's connection over the world's network. */
-final class WireChannel extends AbstractChannel implements Network.End {
+final class EmulatedChannel extends AbstractChannel implements Network.End {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
-    private final LabNode node;
+    private final InMemoryNode node;
     private final ChannelConfig config = new Options(this);
     private final Deque<byte[]> inbound = new ArrayDeque<>();
     private Network.Link link;
     private InetSocketAddress remote;
     private boolean open = true;
-    private boolean ended;
-    private boolean wantsToRead;
-    private Future<?> patience;
+    private boolean remoteClosed;
+    private boolean readPending;
+    private Future<?> connectTimeout;
 
     /** Options of real sockets are taken and mean nothing here. */
     static final class Options extends DefaultChannelConfig {
@@ -46,13 +46,13 @@
         }
     }
 
-    WireChannel(LabNode node) {
+    EmulatedChannel(InMemoryNode node) {
         super(null);
         this.node = node;
     }
 
     /** One that a node's door has taken. */
-    WireChannel(Channel parent, LabNode node, Network.Link link, InetSocketAddress remote) {
+    EmulatedChannel(Channel parent, InMemoryNode node, Network.Link link, InetSocketAddress remote) {
         super(parent);
         this.node = node;
         this.link = link;
@@ -67,19 +67,19 @@
     }
 
     @Override public void closed() {
-        ended = true;
+        remoteClosed = true;
         node.run(this::deliver);
     }
 
     private void deliver() {
-        if (wantsToRead && !inbound.isEmpty() && open) {
-            wantsToRead = false;
+        if (readPending && !inbound.isEmpty() && open) {
+            readPending = false;
             while (!inbound.isEmpty()) {
                 pipeline().fireChannelRead(Unpooled.wrappedBuffer(inbound.poll()));
             }
             pipeline().fireChannelReadComplete();
         }
-        if (ended && inbound.isEmpty() && open) {
+        if (remoteClosed && inbound.isEmpty() && open) {
             unsafe().close(unsafe().voidPromise());
         }
     }
@@ -93,30 +93,30 @@
                     return;
                 }
                 remote = (InetSocketAddress) to;
-                patience = eventLoop().schedule(() -> {
+                connectTimeout = eventLoop().schedule(() -> {
                     if (link == null && open && promise.tryFailure(new ConnectTimeoutException("timed out: " + to))) {
                         close(voidPromise());
                     }
                 }, config.getConnectTimeoutMillis(), TimeUnit.MILLISECONDS);
-                node.world.network.connect(node.party, node.address, remote, new Network.Connecting() {
+                node.world.network.connect(node.party, node.address, remote, new Network.ConnectHandler() {
                     @Override public Network.End opened(Network.Link opened) {
                         if (!open) {
                             opened.close(null);
-                            return WireChannel.this;
+                            return EmulatedChannel.this;
                         }
                         link = opened;
                         node.run(() -> {
-                            patience.cancel(false);
+                            connectTimeout.cancel(false);
                             if (open && promise.trySuccess()) {
                                 pipeline().fireChannelActive();
                             }
                         });
-                        return WireChannel.this;
+                        return EmulatedChannel.this;
                     }
 
                     @Override public void refused() {
                         node.run(() -> {
-                            patience.cancel(false);
+                            connectTimeout.cancel(false);
                             if (promise.tryFailure(new ConnectException("refused: " + to))) {
                                 closeIfClosed();
                                 close(voidPromise());
@@ -148,8 +148,8 @@
 
     @Override protected void doClose() {
         open = false;
-        if (patience != null) {
-            patience.cancel(false);
+        if (connectTimeout != null) {
+            connectTimeout.cancel(false);
         }
         if (link != null) {
             link.close(this);
@@ -157,7 +157,7 @@
     }
 
     @Override protected void doBeginRead() {
-        wantsToRead = true;
+        readPending = true;
         if (!inbound.isEmpty()) {
             eventLoop().execute(this::deliver);
         }
@@ -166,7 +166,7 @@
     @Override protected void doWrite(ChannelOutboundBuffer out) {
         for (Object message = out.current(); message != null; message = out.current()) {
             byte[] bytes = ByteBufUtil.getBytes((ByteBuf) message);
-            if (bytes.length > 0 && !ended) {
+            if (bytes.length > 0 && !remoteClosed) {
                 link.send(this, bytes);
             }
             out.remove();
--- a/lab/src/main/java/wrenreach/lab/WireLoop.java
+++ b/lab/src/main/java/wrenreach/lab/EmulatedEventLoop.java
@@ -5,13 +5,13 @@
 import io.netty.util.concurrent.Ticker;
 
 /** A node's loop, run by the world at the instants that it is due. */
-final class WireLoop extends ManualIoEventLoop {
-    WireLoop(Ticker ticker) {
+final class EmulatedEventLoop extends ManualIoEventLoop {
+    EmulatedEventLoop(Ticker ticker) {
         super(null, Thread.currentThread(), LocalIoHandler.newFactory(), ticker);
     }
 
     /** When its next task is due, in the ticker's nanoseconds; -1: none is waiting. */
-    long dueAt() {
+    long nextTaskAt() {
         return nextScheduledTaskDeadlineNanos();
     }
 }
--- a/lab/src/main/java/wrenreach/lab/WireServer.java
+++ b/lab/src/main/java/wrenreach/lab/EmulatedServerChannel.java
@@ -7,13 +7,13 @@
 import java.net.SocketAddress;
 
 /** A node's door on the world's network. */
-final class WireServer extends AbstractServerChannel implements Network.Listener {
-    private final LabNode node;
-    private final ChannelConfig config = new WireChannel.Options(this);
+final class EmulatedServerChannel extends AbstractServerChannel implements Network.Listener {
+    private final InMemoryNode node;
+    private final ChannelConfig config = new EmulatedChannel.Options(this);
     private InetSocketAddress bound;
     private boolean open = true;
 
-    WireServer(LabNode node) {
+    EmulatedServerChannel(InMemoryNode node) {
         this.node = node;
     }
 
@@ -22,7 +22,7 @@
     }
 
     @Override public Network.End accepted(Network.Link link, InetSocketAddress from) {
-        WireChannel child = new WireChannel(this, node, link, from);
+        EmulatedChannel child = new EmulatedChannel(this, node, link, from);
         node.run(() -> {
             if (open) {
                 pipeline().fireChannelRead(child);
--- a/lab/src/main/java/wrenreach/lab/Experiment.java
+++ b/lab/src/main/java/wrenreach/lab/Experiment.java
@@ -59,26 +59,26 @@
             return builds.containsKey(node) ? ProcessNode.Build.of(builds.get(node)) : ProcessNode.Build.own();
         }
 
-        private boolean has(String node) {
+        private boolean hasOperatorFile(String node) {
             return !operator.file.isEmpty() && (operator.nodes.isEmpty() || operator.nodes.contains(node));
         }
 
         /** The text of a process's operator's file; empty: it has none. */
         String operator(String node, Scenario day, Relays relays) {
-            String text = has(node) ? operator.file : "";
+            String text = hasOperatorFile(node) ? operator.file : "";
             if (datagrams > 0) {
                 int own = Integer.parseInt(node.substring(1));
                 text = text.replace("{peers}", IntStream.range(0, day.nodes()).filter(other -> other != own)
-                        .mapToObj(other -> "\"" + Addresses.format(relays.peer(own, other, datagrams)) + "\"")
+                        .mapToObj(other -> "\"" + Addresses.format(relays.peerAddress(own, other, datagrams)) + "\"")
                         .collect(Collectors.joining(", ")));
             }
-            return day.store() ? text + "\n[store]\ndurability = \"sync\"\n" : text;
+            return day.usesStore() ? text + "\n[store]\ndurability = \"sync\"\n" : text;
         }
 
         /** What is switched on in a node in memory. */
-        OperatorFile inMemory(String node) {
+        OperatorFile inMemoryOperatorFile(String node) {
             try {
-                return has(node) ? parse() : OperatorFile.none();
+                return hasOperatorFile(node) ? parse() : OperatorFile.none();
             } catch (OperatorFile.InvalidFileException e) {
                 throw new IllegalStateException("objected to before", e);
             }
@@ -86,11 +86,11 @@
 
         private OperatorFile parse() throws OperatorFile.InvalidFileException {
             return OperatorFile.parse(Path.of("operator.toml"), operator.file.getBytes(StandardCharsets.UTF_8),
-                    subsystems().stream().<Section<?>>map(Subsystem::section).toList());
+                    virtualTimeSubsystems().stream().<Section<?>>map(Subsystem::section).toList());
         }
 
         /** All subsystems that can be played in virtual time, in the order of their names. */
-        static List<Subsystem<?>> subsystems() {
+        static List<Subsystem<?>> virtualTimeSubsystems() {
             List<Subsystem<?>> all = new ArrayList<>();
             ServiceLoader.load(Subsystem.class, Setup.class.getClassLoader()).forEach(one -> {
                 if (one.inVirtualTime()) {
@@ -128,7 +128,7 @@
     /** Why it can't be played in memory, or by processes where real; empty: it can. */
     List<String> objections(boolean real) {
         List<String> all = new ArrayList<>(setup.objections(real));
-        sweep.values.forEach(value -> all.addAll(at(value, 0).objections(real)));
+        sweep.values.forEach(value -> all.addAll(scenarioAt(value, 0).objections(real)));
         return all.stream().distinct().toList();
     }
 
@@ -148,10 +148,10 @@
                  @Key(about = "its values, the length in milliseconds") List<Integer> values) { }
 
     /** An experiment's file can't be used; every fault is a line of the message. */
-    static final class Unusable extends Exception {
+    static final class InvalidExperimentException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(Path file, List<FileProblem> faults) {
+        InvalidExperimentException(Path file, List<FileProblem> faults) {
             super(String.join(System.lineSeparator(), faults.stream().sorted(Comparator.comparingInt(FileProblem::line))
                     .map(fault -> fault.format(file)).toList()));
         }
@@ -165,7 +165,7 @@
     private static final Section<Operator> OPERATOR = new Section<>("operator", Operator.class);
     private static final String SIZE = "size";
 
-    static Experiment read(Path file) throws IOException, Unusable {
+    static Experiment read(Path file) throws IOException, InvalidExperimentException {
         byte[] bytes = Files.readAllBytes(file);
         String text = new String(bytes, StandardCharsets.UTF_8);
         List<FileProblem> faults = new ArrayList<>();
@@ -185,28 +185,28 @@
                     faults.add(new FileProblem(0, table, "is missing: [" + table + "]"));
                 }
             }
-            int length = read == null ? Scenario.Figure.LENGTH.byDefault : lengthMs(read);
-            each(tree, text, "traffic", "classes", faults, one -> classes.add(Scenario.queueClass(one)));
-            each(tree, text, "faults", "schedule", faults, one -> schedule.addAll(FaultText.read(one, length)));
-            each(tree, text, "fleet", "builds", faults, one -> {
+            int length = read == null ? Scenario.Figure.LENGTH.defaultValue : lengthMs(read);
+            forEachEntry(tree, text, "traffic", "classes", faults, one -> classes.add(Scenario.parseQueueClass(one)));
+            forEachEntry(tree, text, "faults", "schedule", faults, one -> schedule.addAll(FaultText.parse(one, length)));
+            forEachEntry(tree, text, "fleet", "builds", faults, one -> {
                 if (!one.matches("n\\d{1,4} *= *\\S.*")) {
                     throw new IllegalArgumentException("is no build of the form n1 = PATH: " + one);
                 }
                 String[] sides = one.split(" *= *", 2);
                 builds.put(sides[0], sides[1]);
             });
-            each(tree, text, "experiment", "dispatchers", faults, one -> {
-                if (!Baseline.all().containsKey(one)) {
+            forEachEntry(tree, text, "experiment", "dispatchers", faults, one -> {
+                if (!Baseline.byName().containsKey(one)) {
                     throw new IllegalArgumentException(one + " is not known: there are " + String.join(", ",
-                            Baseline.all().keySet()));
+                            Baseline.byName().keySet()));
                 }
             });
         } catch (JsonProcessingException e) {
             // That the file is no TOML has been told above.
-            throw new Unusable(file, faults);
+            throw new InvalidExperimentException(file, faults);
         }
         if (!faults.isEmpty()) {
-            throw new Unusable(file, faults);
+            throw new InvalidExperimentException(file, faults);
         }
         About about = read.section(ABOUT).orElseThrow();
         Fleet fleet = read.section(FLEET).orElseThrow();
@@ -221,39 +221,39 @@
         schedule.sort(Comparator.comparingInt(Scenario.Fault::atMs));
         Sweep sweep = read.section(SWEEP).orElse(new Sweep(SIZE, List.of(1)));
         if (sweep.values.isEmpty() || sweep.values.stream().anyMatch(value -> value < 1 || value > 100_000_000)) {
-            throw new Unusable(file, List.of(new FileProblem(line(text, "values"), "sweep.values", "is a list of numbers of at least 1")));
+            throw new InvalidExperimentException(file, List.of(new FileProblem(lineOf(text, "values"), "sweep.values", "is a list of numbers of at least 1")));
         }
         Setup setup = new Setup(read.section(OPERATOR).orElse(Setup.NONE.operator), builds, fleet.datagrams);
         return new Experiment(about, new Scenario(about.firstSeed, figures, classes, schedule), sweep, setup);
     }
 
     private static int lengthMs(OperatorFile read) {
-        return read.section(TRAFFIC).map(traffic -> (int) (traffic.length / 1000)).orElse(Scenario.Figure.LENGTH.byDefault);
+        return read.section(TRAFFIC).map(traffic -> (int) (traffic.length / 1000)).orElse(Scenario.Figure.LENGTH.defaultValue);
     }
 
     /** Each text of a list by itself, so that one fault does not hide the next. */
-    private static void each(JsonNode tree, String text, String table, String key, List<FileProblem> faults, Consumer<String> takes) {
+    private static void forEachEntry(JsonNode tree, String text, String table, String key, List<FileProblem> faults, Consumer<String> takes) {
         for (JsonNode one : tree.path(table).path(key)) {
             try {
                 if (one.isTextual()) {
                     takes.accept(one.textValue());
                 }
             } catch (IllegalArgumentException e) {
-                faults.add(new FileProblem(line(text, one.textValue()), table + "." + key, e.getMessage()));
+                faults.add(new FileProblem(lineOf(text, one.textValue()), table + "." + key, e.getMessage()));
             }
         }
     }
 
-    private static int line(String text, String part) {
+    private static int lineOf(String text, String part) {
         int at = text.indexOf(part);
         return at < 0 ? 0 : 1 + (int) text.substring(0, at).chars().filter(c -> c == '\n').count();
     }
 
     /** The day at one value of the sweep, with its n-th seed. */
-    Scenario at(int value, int n) {
+    Scenario scenarioAt(int value, int n) {
         Scenario day = scenario.withSeed(about.firstSeed + n);
         if (!sweep.figure.equals(SIZE)) {
-            return day.with(Scenario.named(Scenario.Figure.values(), sweep.figure), value);
+            return day.with(Scenario.parseEnum(Scenario.Figure.values(), sweep.figure), value);
         }
         for (Scenario.Figure figure : List.of(Scenario.Figure.NODES, Scenario.Figure.DESTINATIONS, Scenario.Figure.RATE)) {
             day = day.with(figure, Math.multiplyExact(value, scenario.figures().get(figure)));
--- a/lab/src/main/java/wrenreach/lab/Trials.java
+++ b/lab/src/main/java/wrenreach/lab/ExperimentRunner.java
@@ -15,35 +15,35 @@
 import java.util.function.IntConsumer;
 
 /** Plays every day of an experiment, several worlds beside each other; what comes of it does not depend on how many. */
-final class Trials {
+final class ExperimentRunner {
     /**
      * One day that was played. neverCame: the faults whose condition did not come; took, emulated: nanoseconds; print: what
      * stands for its facts.
      */
-    record Trial(int value, String dispatcher, long seed, Figures figures, Rules.Verdict verdict, List<String> neverCame, String print,
-                 long took, long emulated) {
-        List<Rules.Break> breaks() {
-            return verdict.breaks();
+    record DayResult(int value, String dispatcher, long seed, DeliveryMetrics metrics, Rules.Verdict verdict, List<String> unmetConditions, String fingerprint,
+                 long tookNanos, long emulatedNanos) {
+        List<Rules.Violation> violations() {
+            return verdict.violations();
         }
     }
 
-    private Trials() { }
+    private ExperimentRunner() { }
 
     /** In the order of values, dispatchers, seeds; done: how many are over. */
-    static List<Trial> play(Experiment experiment, int jobs, IntConsumer done) throws InterruptedException {
+    static List<DayResult> play(Experiment experiment, int jobs, IntConsumer done) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(jobs);
         try {
-            List<Future<Trial>> under = new ArrayList<>();
+            List<Future<DayResult>> under = new ArrayList<>();
             for (int value : experiment.sweep().values()) {
                 for (String dispatcher : experiment.about().dispatchers()) {
                     for (int n = 0; n < experiment.about().seeds(); n++) {
-                        Scenario day = experiment.at(value, n);
+                        Scenario day = experiment.scenarioAt(value, n);
                         under.add(pool.submit(() -> play(day, experiment.setup(), value, dispatcher)));
                     }
                 }
             }
-            List<Trial> all = new ArrayList<>();
-            for (Future<Trial> one : under) {
+            List<DayResult> all = new ArrayList<>();
+            for (Future<DayResult> one : under) {
                 all.add(one.get());
                 done.accept(all.size());
             }
@@ -55,21 +55,21 @@
         }
     }
 
-    private static Trial play(Scenario day, Experiment.Setup setup, int value, String dispatcher) {
+    private static DayResult play(Scenario day, Experiment.Setup setup, int value, String dispatcher) {
         long begin = System.nanoTime();
-        Play play = Play.of(day, Baseline.all().get(dispatcher), setup, world -> { });
+        ScenarioRun play = ScenarioRun.of(day, Baseline.byName().get(dispatcher), setup, world -> { });
         long took = System.nanoTime() - begin;
         Rules.Verdict verdict = Rules.verdict(day, play.world.facts, play.settings, play.world.now());
-        return new Trial(value, dispatcher, day.seed(), Figures.of(play.world.facts, play.settings, verdict.breaks().size()), verdict,
-                play.world.facts.stream().filter(fact -> fact instanceof Fact.NeverCame).map(Fact::line).toList(),
-                play.world.print(), took, play.world.now());
+        return new DayResult(value, dispatcher, day.seed(), DeliveryMetrics.of(play.world.facts, play.settings, verdict.violations().size()), verdict,
+                play.world.facts.stream().filter(fact -> fact instanceof Fact.NeverCame).map(Fact::timelineLine).toList(),
+                play.world.factsHash(), took, play.world.now());
     }
 
     /** What stands for all days together. */
-    static String print(List<Trial> all) {
+    static String fingerprint(List<DayResult> all) {
         try {
             MessageDigest hash = MessageDigest.getInstance("SHA-256");
-            all.forEach(trial -> hash.update((trial.print + "\n").getBytes(StandardCharsets.US_ASCII)));
+            all.forEach(trial -> hash.update((trial.fingerprint + "\n").getBytes(StandardCharsets.US_ASCII)));
             return HexFormat.of().formatHex(hash.digest());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
@@ -77,13 +77,13 @@
     }
 
     /** The days of each value and dispatcher as one. */
-    static Map<Integer, Map<String, Figures>> together(List<Trial> all) {
-        Map<Integer, Map<String, List<Figures>>> days = new LinkedHashMap<>();
+    static Map<Integer, Map<String, DeliveryMetrics>> mergeDays(List<DayResult> all) {
+        Map<Integer, Map<String, List<DeliveryMetrics>>> days = new LinkedHashMap<>();
         all.forEach(trial -> days.computeIfAbsent(trial.value, v -> new LinkedHashMap<>())
-                .computeIfAbsent(trial.dispatcher, d -> new ArrayList<>()).add(trial.figures));
-        Map<Integer, Map<String, Figures>> merged = new LinkedHashMap<>();
+                .computeIfAbsent(trial.dispatcher, d -> new ArrayList<>()).add(trial.metrics));
+        Map<Integer, Map<String, DeliveryMetrics>> merged = new LinkedHashMap<>();
         days.forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) -> merged
-                .computeIfAbsent(value, v -> new LinkedHashMap<>()).put(dispatcher, Figures.together(figures))));
+                .computeIfAbsent(value, v -> new LinkedHashMap<>()).put(dispatcher, DeliveryMetrics.merge(figures))));
         return merged;
     }
 }
--- a/lab/src/main/java/wrenreach/lab/Fact.java
+++ b/lab/src/main/java/wrenreach/lab/Fact.java
@@ -72,7 +72,7 @@
     record Late(long at, long length) implements Fact { }
 
     /** The fact as a line of a timeline. */
-    static String line(Fact fact) {
+    static String timelineLine(Fact fact) {
         String text = fact.toString();
         return String.format(Locale.ROOT, "%10.4f s  %s", (fact.at() - 1_000_000_000L) / 1e9,
                 text.replaceFirst("\\[at=\\d+, ", " ").replaceAll("]$", ""));
--- a/lab/src/main/java/wrenreach/lab/FaultText.java
+++ b/lab/src/main/java/wrenreach/lab/FaultText.java
@@ -12,46 +12,46 @@
  * or once WHAT PARTY COUNT in place of at MS.
  */
 final class FaultText {
-    private static final String FORM = "KIND WHICH [FIGURE [MORE]] at MS|once SEEN PARTY COUNT for MS [every MS]";
-    private static final String NUMBER = "\\d{1,9}(\\.\\d{1,6})?";
-    private static final int MOST_TIMES = 10_000;
+    private static final String SYNTAX = "KIND WHICH [FIGURE [MORE]] at MS|once SEEN PARTY COUNT for MS [every MS]";
+    private static final String NUMBER_PATTERN = "\\d{1,9}(\\.\\d{1,6})?";
+    private static final int MAX_REPEATS = 10_000;
 
     private FaultText() { }
 
     /** Each time it comes back, the next one is hit; until: the last instant at which one begins. */
-    static List<Scenario.Fault> read(String text, int until) {
+    static List<Scenario.Fault> parse(String text, int until) {
         List<String> words = new ArrayList<>(Arrays.asList(text.split("\\s+")));
-        Scenario.Kind kind = Scenario.named(Scenario.Kind.values(), words.remove(0));
-        String target = kind.of == Scenario.Of.NODES ? "all" : take(words, text);
-        target(kind, target);
+        Scenario.Kind kind = Scenario.parseEnum(Scenario.Kind.values(), words.remove(0));
+        String target = kind.targetType == Scenario.TargetType.NODES ? "all" : nextWord(words, text);
+        checkTarget(kind, target);
         List<Double> figures = new ArrayList<>();
-        while (!words.isEmpty() && words.get(0).matches(NUMBER)) {
+        while (!words.isEmpty() && words.get(0).matches(NUMBER_PATTERN)) {
             figures.add(Double.parseDouble(words.remove(0)));
         }
-        figures(kind, figures);
+        checkFigures(kind, figures);
         int at = 0;
         Scenario.Once once = null;
-        String when = take(words, text);
+        String when = nextWord(words, text);
         if (when.equals("at")) {
-            at = Scenario.positive(take(words, text));
+            at = Scenario.parsePositive(nextWord(words, text));
         } else if (when.equals("once")) {
-            once = new Scenario.Once(Scenario.named(Scenario.Once.Seen.values(), take(words, text)), party(take(words, text)),
-                    Scenario.positive(take(words, text)));
+            once = new Scenario.Once(Scenario.parseEnum(Scenario.Once.Seen.values(), nextWord(words, text)), checkParty(nextWord(words, text)),
+                    Scenario.parsePositive(nextWord(words, text)));
         } else {
-            throw new IllegalArgumentException("is no fault of the form " + FORM + ": " + text);
+            throw new IllegalArgumentException("is no fault of the form " + SYNTAX + ": " + text);
         }
-        if (!take(words, text).equals("for")) {
-            throw new IllegalArgumentException("is no fault of the form " + FORM + ": " + text);
+        if (!nextWord(words, text).equals("for")) {
+            throw new IllegalArgumentException("is no fault of the form " + SYNTAX + ": " + text);
         }
-        int length = Scenario.positive(take(words, text));
-        int every = Scenario.MOST;
+        int length = Scenario.parsePositive(nextWord(words, text));
+        int every = Scenario.MAX_NUMBER;
         if (!words.isEmpty() && words.get(0).equals("every") && once == null && words.size() == 2) {
-            every = Scenario.positive(words.get(1));
+            every = Scenario.parsePositive(words.get(1));
         } else if (!words.isEmpty()) {
-            throw new IllegalArgumentException("is no fault of the form " + FORM + ": " + text);
+            throw new IllegalArgumentException("is no fault of the form " + SYNTAX + ": " + text);
         }
         List<Scenario.Fault> all = new ArrayList<>();
-        for (long i = 0; i == 0 || at + i * every < until && i < MOST_TIMES; i++) {
+        for (long i = 0; i == 0 || at + i * every < until && i < MAX_REPEATS; i++) {
             String next = target.matches("-?\\d+") ? Long.toString(Integer.parseInt(target) + i) : target;
             all.add(new Scenario.Fault(kind, next, figures.isEmpty() ? kind == Scenario.Kind.RESET ? 1 : 0 : figures.get(0),
                     figures.size() < 2 ? 0 : figures.get(1), (int) (at + i * every), once, length));
@@ -60,66 +60,66 @@
     }
 
     /** The text that {@link #read} reads. */
-    static String write(Scenario.Fault fault) {
-        String target = fault.kind().of == Scenario.Of.NODES ? "" : " " + fault.target();
-        String figures = most(fault.kind()) == 0 ? "" : " " + number(fault.figure())
-                + (fault.more() > 0 ? " " + number(fault.more()) : "");
-        return fault.kind().word() + target + figures + " "
+    static String format(Scenario.Fault fault) {
+        String target = fault.kind().targetType == Scenario.TargetType.NODES ? "" : " " + fault.target();
+        String figures = maxFigures(fault.kind()) == 0 ? "" : " " + formatNumber(fault.figure())
+                + (fault.more() > 0 ? " " + formatNumber(fault.more()) : "");
+        return fault.kind().keyword() + target + figures + " "
                 + (fault.once() == null ? "at " + fault.atMs() : fault.once().text()) + " for " + fault.forMs();
     }
 
-    private static String number(double figure) {
+    private static String formatNumber(double figure) {
         return figure == Math.rint(figure) ? Long.toString((long) figure) : String.format(Locale.ROOT, "%.6f", figure).replaceAll("0+$", "");
     }
 
-    private static String take(List<String> words, String text) {
+    private static String nextWord(List<String> words, String text) {
         if (words.isEmpty()) {
-            throw new IllegalArgumentException("is no fault of the form " + FORM + ": " + text);
+            throw new IllegalArgumentException("is no fault of the form " + SYNTAX + ": " + text);
         }
         return words.remove(0);
     }
 
-    private static int most(Scenario.Kind kind) {
+    private static int maxFigures(Scenario.Kind kind) {
         return switch (kind) {
             case DELAY, REORDERING -> 2;
             case RESET, RATE, LOSS, DOUBLING, WALL_AHEAD, WALL_BEHIND -> 1;
-            default -> kind.call() == null ? 0 : 2;
+            default -> kind.failingCall() == null ? 0 : 2;
         };
     }
 
-    private static void figures(Scenario.Kind kind, List<Double> figures) {
-        int most = most(kind);
+    private static void checkFigures(Scenario.Kind kind, List<Double> figures) {
+        int most = maxFigures(kind);
         int least = kind == Scenario.Kind.RESET ? 0 : most == 2 && kind == Scenario.Kind.REORDERING ? 2 : Math.min(1, most);
         if (figures.size() < least || figures.size() > most) {
-            throw new IllegalArgumentException(kind.word() + " takes " + least + " to " + most + " figures, not " + figures.size());
+            throw new IllegalArgumentException(kind.keyword() + " takes " + least + " to " + most + " figures, not " + figures.size());
         }
         boolean share = kind == Scenario.Kind.RESET || kind == Scenario.Kind.LOSS || kind == Scenario.Kind.DOUBLING
-                || kind == Scenario.Kind.REORDERING || kind.call() != null;
+                || kind == Scenario.Kind.REORDERING || kind.failingCall() != null;
         if (!figures.isEmpty() && (share && figures.get(0) > 1 || !(figures.get(0) > 0))) {
-            throw new IllegalArgumentException(kind.word() + ": " + number(figures.get(0)) + " is "
+            throw new IllegalArgumentException(kind.keyword() + ": " + formatNumber(figures.get(0)) + " is "
                     + (share ? "no share above 0, up to 1" : "not above 0"));
         }
     }
 
-    private static void target(Scenario.Kind kind, String target) {
-        switch (kind.of) {
+    private static void checkTarget(Scenario.Kind kind, String target) {
+        switch (kind.targetType) {
             case NODE, RECEIVER -> {
                 if (!target.matches("-?\\d{1,9}|third|half|all")) {
-                    throw new IllegalArgumentException(kind.word() + " is of a number, third, half or all, not of " + target);
+                    throw new IllegalArgumentException(kind.keyword() + " is of a number, third, half or all, not of " + target);
                 }
             }
-            case LINK -> links(target);
+            case LINK -> parseLink(target);
             case SETS -> {
                 if (!target.contains("|")) {
-                    throw new IllegalArgumentException(kind.word() + " is of sets as n0,n1|n2, not of " + target);
+                    throw new IllegalArgumentException(kind.keyword() + " is of sets as n0,n1|n2, not of " + target);
                 }
-                Arrays.stream(target.split("[|,]")).forEach(FaultText::party);
+                Arrays.stream(target.split("[|,]")).forEach(FaultText::checkParty);
             }
             default -> { }
         }
     }
 
-    private static String party(String name) {
+    private static String checkParty(String name) {
         if (!name.matches("[nr]\\d{1,4}|nodes|receivers|clients|platform")) {
             throw new IllegalArgumentException(name + " is no party: there are n0, r0, nodes, receivers, clients, platform");
         }
@@ -127,20 +127,20 @@
     }
 
     /** The two sides of a link, the first one's way first. */
-    private static String[] links(String target) {
+    private static String[] parseLink(String target) {
         String[] sides = target.split("[->]");
         if (sides.length != 2) {
             throw new IllegalArgumentException(target + " is no link: there are A-B and A>B");
         }
-        party(sides[0]);
-        party(sides[1]);
+        checkParty(sides[0]);
+        checkParty(sides[1]);
         return sides;
     }
 
     /** The parties that a fault names. */
     static Set<String> parties(Scenario.Fault fault) {
         Set<String> all = new LinkedHashSet<>();
-        if (fault.kind().of == Scenario.Of.LINK || fault.kind().of == Scenario.Of.SETS) {
+        if (fault.kind().targetType == Scenario.TargetType.LINK || fault.kind().targetType == Scenario.TargetType.SETS) {
             all.addAll(List.of(fault.target().split("[|,>-]")));
         }
         if (fault.once() != null) {
@@ -150,28 +150,28 @@
     }
 
     /** One way between two parties by their names; a node's platform is platform-NAME. */
-    record OneWay(String from, String to) { }
+    record DirectedLink(String from, String to) { }
 
     /** The ways that a fault of links is on, in a fleet of so many nodes and receivers. */
-    static List<OneWay> ways(Scenario.Fault fault, int nodes, int receivers) {
-        Set<OneWay> all = new LinkedHashSet<>();
+    static List<DirectedLink> directedLinks(Scenario.Fault fault, int nodes, int receivers) {
+        Set<DirectedLink> all = new LinkedHashSet<>();
         switch (fault.kind()) {
             case PARTITION -> {
                 String[] sets = fault.target().split("\\|");
                 for (String a : sets) {
                     for (String b : sets) {
                         if (!a.equals(b)) {
-                            between(all, a, b, nodes, receivers);
+                            addLinks(all, a, b, nodes, receivers);
                         }
                     }
                 }
             }
-            case MUTE, DEAF -> fault.which(nodes).forEach(node -> {
+            case MUTE, DEAF -> fault.targetIndexes(nodes).forEach(node -> {
                 for (String other : List.of("nodes", "receivers", "clients", "platform")) {
                     if (fault.kind() == Scenario.Kind.MUTE) {
-                        between(all, "n" + node, other, nodes, receivers);
+                        addLinks(all, "n" + node, other, nodes, receivers);
                     } else {
-                        between(all, other, "n" + node, nodes, receivers);
+                        addLinks(all, other, "n" + node, nodes, receivers);
                     }
                 }
             });
@@ -180,35 +180,35 @@
                     for (int b = 0; b < nodes; b++) {
                         int apart = Math.floorMod(a - b, nodes);
                         if (apart > 1 && apart < nodes - 1) {
-                            all.add(new OneWay("n" + a, "n" + b));
+                            all.add(new DirectedLink("n" + a, "n" + b));
                         }
                     }
                 }
             }
             default -> {
-                String[] sides = links(fault.target());
-                between(all, sides[0], sides[1], nodes, receivers);
+                String[] sides = parseLink(fault.target());
+                addLinks(all, sides[0], sides[1], nodes, receivers);
                 if (fault.target().contains("-")) {
-                    between(all, sides[1], sides[0], nodes, receivers);
+                    addLinks(all, sides[1], sides[0], nodes, receivers);
                 }
             }
         }
         return List.copyOf(all);
     }
 
-    private static void between(Set<OneWay> all, String from, String to, int nodes, int receivers) {
-        for (String a : named(from, nodes, receivers)) {
-            for (String b : named(to, nodes, receivers)) {
+    private static void addLinks(Set<DirectedLink> all, String from, String to, int nodes, int receivers) {
+        for (String a : expandSet(from, nodes, receivers)) {
+            for (String b : expandSet(to, nodes, receivers)) {
                 if (a.startsWith("n") && !a.equals(b)) {
-                    all.add(new OneWay(a, b.equals("platform") ? "platform-" + a : b));
+                    all.add(new DirectedLink(a, b.equals("platform") ? "platform-" + a : b));
                 } else if (b.startsWith("n") && !a.equals(b)) {
-                    all.add(new OneWay(a.equals("platform") ? "platform-" + b : a, b));
+                    all.add(new DirectedLink(a.equals("platform") ? "platform-" + b : a, b));
                 }
             }
         }
     }
 
-    private static List<String> named(String set, int nodes, int receivers) {
+    private static List<String> expandSet(String set, int nodes, int receivers) {
         List<String> all = new ArrayList<>();
         for (String one : set.split(",")) {
             if (one.equals("nodes") || one.equals("receivers")) {
--- a/lab/src/main/java/wrenreach/lab/FleetNode.java
+++ b/lab/src/main/java/wrenreach/lab/FleetNode.java
@@ -6,9 +6,9 @@
 abstract class FleetNode {
     final String name;
     final InetSocketAddress address;
-    boolean deaf;
-    boolean broken;
-    long startsLater;
+    boolean ignoresTerm;
+    boolean failsToStart;
+    long startupFreeze;
 
     FleetNode(String name, InetSocketAddress address) {
         this.name = name;
@@ -28,7 +28,7 @@
     abstract void stop(long startsAfter);
 
     /** The platform's patience with a process that is told to stop, in nanoseconds; then it is killed. */
-    static final long STOP_PATIENCE = 3_700_000_000L;
+    static final long STOP_TIMEOUT_NS = 3_700_000_000L;
 
     /** The machine is gone without a word. */
     abstract void vanish();
@@ -37,25 +37,25 @@
     abstract void freeze(boolean on);
 
     /** From now on its processes hear SIGTERM, or not; one that has been started goes on as it was. */
-    final void deafToTerm(boolean on) {
-        deaf = on;
+    final void setIgnoresTerm(boolean on) {
+        ignoresTerm = on;
     }
 
     /** From now on its processes end right at their start, or not. */
-    final void brokenStart(boolean on) {
-        broken = on;
+    final void setFailsToStart(boolean on) {
+        failsToStart = on;
     }
 
     /** The next process stands still for so long right after its start, in nanoseconds. */
-    final void slowStart(long length) {
-        startsLater = length;
+    final void freezeAtNextStart(long length) {
+        startupFreeze = length;
     }
 
     /** What becomes of the state folder of a node whose process is dead. */
     enum State { KEPT_ASIDE, PUT_BACK, LOST, READ_ONLY, WRITABLE }
 
     /** Copies the state folder away, puts the copy back, loses it, or has nothing be written to it. */
-    abstract void state(State what);
+    abstract void changeStateFolder(State what);
 
     /** From now on this share of the process's system calls fails with this errno, see {@link SystemCallFaults#fail}. */
     void failCalls(SystemCallFaults.Call call, double share, int error) {
@@ -68,7 +68,7 @@
     }
 
     /** The wall clock of its machine is stepped by so many nanoseconds. */
-    void stepWall(long nanos) {
+    void stepWallClock(long nanos) {
         throw new UnsupportedOperationException("the wall clock is stepped by processes only");
     }
 
--- a/lab/src/main/java/wrenreach/lab/HttpPeer.java
+++ b/lab/src/main/java/wrenreach/lab/HttpConnection.java
@@ -7,33 +7,33 @@
 import java.util.Map;
 
 /** The side of a connection that answers HTTP requests; as much of it as nodes speak. */
-abstract class HttpPeer implements Network.End {
+abstract class HttpConnection implements Network.End {
     /** One request; headers by their names in small letters. */
     record Request(String method, String path, Map<String, String> headers, byte[] body) { }
 
     final Network.Link link;
     private ByteArrayOutputStream unread = new ByteArrayOutputStream();
-    private boolean begun;
-    boolean over;
+    private boolean requestBegun;
+    boolean closed;
 
-    HttpPeer(Network.Link link) {
+    HttpConnection(Network.Link link) {
         this.link = link;
     }
 
     /** The first bytes of a request have come. */
-    abstract void begins(String head);
+    abstract void requestBegins(String head);
 
     /** A request has come whole. */
-    abstract void asked(Request request);
+    abstract void requestReceived(Request request);
 
     @Override public void received(byte[] bytes) {
         unread.writeBytes(bytes);
-        while (!over) {
+        while (!closed) {
             byte[] all = unread.toByteArray();
             String text = new String(all, StandardCharsets.ISO_8859_1);
-            if (!begun && !text.isEmpty()) {
-                begun = true;
-                begins(text);
+            if (!requestBegun && !text.isEmpty()) {
+                requestBegun = true;
+                requestBegins(text);
             }
             int end = text.indexOf("\r\n\r\n");
             if (end < 0) {
@@ -52,24 +52,24 @@
             byte[] body = java.util.Arrays.copyOfRange(all, end + 4, end + 4 + length);
             unread = new ByteArrayOutputStream();
             unread.write(all, end + 4 + length, all.length - end - 4 - length);
-            begun = false;
+            requestBegun = false;
             String[] first = lines[0].split(" ");
-            asked(new Request(first[0], first[1], headers, body));
+            requestReceived(new Request(first[0], first[1], headers, body));
         }
     }
 
     @Override public void closed() {
-        over = true;
+        closed = true;
     }
 
     void write(String text) {
-        if (!over) {
+        if (!closed) {
             link.send(this, text.getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
     /** Writes an answer without a body. */
-    void answer(String status, String... headers) {
+    void respondWithoutBody(String status, String... headers) {
         write("HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n" + String.join("\r\n", headers)
                 + (headers.length > 0 ? "\r\n" : "") + "\r\n");
     }
--- a/lab/src/main/java/wrenreach/lab/LabNode.java
+++ b/lab/src/main/java/wrenreach/lab/InMemoryNode.java
@@ -32,9 +32,9 @@
 import wrenreach.operator.OperatorFile;
 
 /** One delivery node as shipped, on the world's loop, network and disk; it can be killed and started again. */
-final class LabNode extends FleetNode {
+final class InMemoryNode extends FleetNode {
     /** Where in a turn a kill strikes. */
-    enum Moment {
+    enum KillMoment {
         /** Between two turns. */
         BETWEEN,
         /** After the journal's write and before any byte goes out. */
@@ -45,51 +45,51 @@
 
     private static final String JOURNAL = "journal";
     /** When the platform starts a process again that has ended by itself. */
-    private static final long RESTART = 500_000_000;
+    private static final long RESTART_DELAY_NS = 500_000_000;
     /** For how long ids that have ended are known, in microseconds. */
-    private static final long REMEMBERED = 600_000_000;
-    private static final int SALT = 1;
+    private static final long DEDUPLICATION_US = 600_000_000;
+    private static final int LEDGER_SALT = 1;
 
     final World world;
     private final Config config;
     private final String json;
     private final int zone;
-    private final boolean store;
-    private final Function<Settings, Dispatcher> module;
+    private final boolean usesStore;
+    private final Function<Settings, Dispatcher> dispatcherFactory;
     private final OperatorFile operator;
     private final FileSystem disk;
     private final Path state;
     /** Where a copy of the state folder is kept: not on the node's disk. */
-    private final FileSystem shelf;
-    private final Path aside;
+    private final FileSystem backupDisk;
+    private final Path backupFolder;
     Network.Party party;
-    private WireLoop loop;
+    private EmulatedEventLoop loop;
     private DeliveryNode node;
     /** The process has ended by itself, and has been told to end or can't but do so. */
-    private boolean over;
-    private boolean ending;
-    private long restartAfter;
+    private boolean exited;
+    private boolean exitExpected;
+    private long restartDelay;
     private Ledger journal;
     /** The files that the last turn found. */
     private List<String> filesBefore = List.of();
     private List<String> files = List.of();
     /** The instant at which the world looks at the node next: one event a node stands in the world's queue for it. */
-    private long looksAt = Long.MAX_VALUE;
-    private long size;
-    private long sizeBefore;
-    private long writtenAt = -1;
-    private int writes;
+    private long nextRunAt = Long.MAX_VALUE;
+    private long journalSize;
+    private long previousJournalSize;
+    private long lastWriteAt = -1;
+    private int writeCount;
     private int killAtWrite = -1;
-    private Moment killMoment = Moment.BETWEEN;
-    private Runnable killed = () -> { };
-    private int lives;
+    private KillMoment killMoment = KillMoment.BETWEEN;
+    private Runnable afterKill = () -> { };
+    private int exitCount;
     private boolean frozen;
     private boolean readOnly;
     /** What the network brought while the process stood still. */
-    private final List<Runnable> cameMeanwhile = new ArrayList<>();
+    private final List<Runnable> deferredWork = new ArrayList<>();
 
     /** operator: what the operator's file switches on beside the node. */
-    LabNode(World world, String name, Config config, String json, int zone, boolean store,
+    InMemoryNode(World world, String name, Config config, String json, int zone, boolean store,
             Function<Settings, Dispatcher> module, OperatorFile operator) {
         super(name, config.listen());
         this.operator = operator;
@@ -97,13 +97,13 @@
         this.config = config;
         this.json = json;
         this.zone = zone;
-        this.store = store;
-        this.module = module;
+        this.usesStore = store;
+        this.dispatcherFactory = module;
         disk = Jimfs.newFileSystem(Configuration.unix().toBuilder().setMaxSize(2 * config.diskBytes())
                 .setBlockSize(512).setMaxCacheSize(0).build());
         state = disk.getPath("/state");
-        shelf = Jimfs.newFileSystem(Configuration.unix());
-        aside = shelf.getPath("/aside");
+        backupDisk = Jimfs.newFileSystem(Configuration.unix());
+        backupFolder = backupDisk.getPath("/aside");
         try {
             Files.createDirectories(state);
         } catch (IOException e) {
@@ -115,41 +115,41 @@
     }
 
     @Override void start() {
-        if (broken || readOnly) {
+        if (failsToStart || readOnly) {
             world.record(new Fact.Died(world.now(), name, false));
-            world.later(RESTART, this::startAgain);
+            world.scheduleIn(RESTART_DELAY_NS, this::startIfDown);
             return;
         }
-        if (startsLater > 0) {
-            long later = startsLater;
-            startsLater = 0;
-            world.later(later, this::startAgain);
+        if (startupFreeze > 0) {
+            long later = startupFreeze;
+            startupFreeze = 0;
+            world.scheduleIn(later, this::startIfDown);
             return;
         }
         party = new Network.Party(name);
         party.zone = zone;
-        over = false;
-        restartAfter = RESTART;
-        loop = new WireLoop(world.ticker);
+        exited = false;
+        restartDelay = RESTART_DELAY_NS;
+        loop = new EmulatedEventLoop(world.ticker);
         try {
-            journal = store ? StoreLedger.open(state, config.diskBytes(), false, REMEMBERED, config.diskBytes() / 10,
-                    () -> 1000 * world.wallMillis(), SALT) : Journal.open(state, config.diskBytes());
+            journal = usesStore ? StoreLedger.open(state, config.diskBytes(), false, DEDUPLICATION_US, config.diskBytes() / 10,
+                    () -> 1000 * world.wallMillis(), LEDGER_SALT) : Journal.open(state, config.diskBytes());
             filesBefore = files = files();
-            size = sizeBefore = journal.size();
+            journalSize = previousJournalSize = journal.size();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         // Each life reads it anew: the list in it is the node's own.
-        node = new DeliveryNode(configOf(json), journal, settings -> new Watched(module.apply(settings), world, name), new Sockets(loop, () -> new WireServer(this),
-                () -> new WireChannel(this), new MachineClocks(world::wallMillis, world::now, "lab")));
-        for (Subsystem<?> subsystem : Experiment.Setup.subsystems()) {
+        node = new DeliveryNode(configOf(json), journal, settings -> new BreakerRecorder(dispatcherFactory.apply(settings), world, name), new Sockets(loop, () -> new EmulatedServerChannel(this),
+                () -> new EmulatedChannel(this), new MachineClocks(world::wallMillis, world::now, "lab")));
+        for (Subsystem<?> subsystem : Experiment.Setup.virtualTimeSubsystems()) {
             add(subsystem);
         }
-        ending = false;
+        exitExpected = false;
         node.start();
-        node.stopped().thenAccept(code -> over = true);
+        node.stopped().thenAccept(code -> exited = true);
         node.serving().thenRun(() -> world.record(new Fact.Serves(world.now(), name)));
-        look();
+        runDueTasks();
     }
 
     private <S extends Record> void add(Subsystem<S> subsystem) {
@@ -167,66 +167,66 @@
     }
 
     /** Kills the process after its n-th write from now on. */
-    void killAtWrite(int write, Moment moment, Runnable then) {
-        killAtWrite = writes + write;
+    void killAtWrite(int write, KillMoment moment, Runnable then) {
+        killAtWrite = writeCount + write;
         killMoment = moment;
-        killed = then;
+        afterKill = then;
     }
 
     @Override void kill() {
-        kill(Moment.BETWEEN);
+        kill(KillMoment.BETWEEN);
     }
 
     /** Kills the process; a torn or unsent turn only if it is of this instant. */
-    void kill(Moment moment) {
+    void kill(KillMoment moment) {
         if (!party.up) {
             return;
         }
-        boolean lastTurn = writtenAt == world.now();
-        network().die(party, lastTurn && moment != Moment.BETWEEN);
+        boolean lastTurn = lastWriteAt == world.now();
+        network().die(party, lastTurn && moment != KillMoment.BETWEEN);
         try {
             journal.close();
-            if (lastTurn && moment == Moment.TORN && size > sizeBefore) {
-                tear((int) (size - sizeBefore));
+            if (lastTurn && moment == KillMoment.TORN && journalSize > previousJournalSize) {
+                truncateLastWrite((int) (journalSize - previousJournalSize));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        gone();
+        processEnded();
     }
 
-    private void gone() {
-        lives++;
+    private void processEnded() {
+        exitCount++;
         frozen = false;
-        cameMeanwhile.clear();
+        deferredWork.clear();
         loop = null;
         node = null;
-        world.record(new Fact.Died(world.now(), name, over && !ending));
+        world.record(new Fact.Died(world.now(), name, exited && !exitExpected));
     }
 
     @Override void vanish() {
         if (party.up) {
             network().vanish(party);
-            gone();
+            processEnded();
         }
     }
 
     @Override void stop(long startsAfter) {
-        restartAfter = startsAfter;
-        ending = true;
-        if (!deaf) {
+        restartDelay = startsAfter;
+        exitExpected = true;
+        if (!ignoresTerm) {
             run(() -> node.stop());
         }
-        int life = lives;
-        world.later(STOP_PATIENCE, () -> {
-            if (party.up && life == lives) {
+        int life = exitCount;
+        world.scheduleIn(STOP_TIMEOUT_NS, () -> {
+            if (party.up && life == exitCount) {
                 kill();
-                world.later(startsAfter, this::startAgain);
+                world.scheduleIn(startsAfter, this::startIfDown);
             }
         });
     }
 
-    private void startAgain() {
+    private void startIfDown() {
         if (!up()) {
             start();
         }
@@ -240,21 +240,21 @@
             // What a selector says that wakes from a stop: nothing is ready. Time-outs go first, then what came meanwhile.
             if (loop != null) {
                 loop.runNow();
-                List<Runnable> came = List.copyOf(cameMeanwhile);
-                cameMeanwhile.clear();
+                List<Runnable> came = List.copyOf(deferredWork);
+                deferredWork.clear();
                 came.forEach(loop::execute);
-                lookAt(world.now());
+                scheduleRun(world.now());
             }
         }
     }
 
-    @Override void state(State what) {
+    @Override void changeStateFolder(State what) {
         try {
             switch (what) {
-                case KEPT_ASIDE -> copy(state, aside);
+                case KEPT_ASIDE -> copy(state, backupFolder);
                 case PUT_BACK -> {
                     fillDisk(false); // Who puts a copy back makes room for it.
-                    copy(aside, state);
+                    copy(backupFolder, state);
                 }
                 case LOST -> copy(disk.getPath("/nothing"), state);
                 default -> readOnly = what == State.READ_ONLY;
@@ -313,7 +313,7 @@
     void failWrite() {
         if (party.up) {
             // A store that fails ends its node; a journal is made anew.
-            ending = store;
+            exitExpected = usesStore;
             try {
                 journal.close();
             } catch (IOException e) {
@@ -340,7 +340,7 @@
         }
     }
 
-    private void noteFiles() {
+    private void recordFiles() {
         try {
             filesBefore = files;
             files = files();
@@ -361,22 +361,22 @@
     }
 
     private List<String> files() throws IOException {
-        Path folder = store ? state.resolve(Journal.STORE) : state;
+        Path folder = usesStore ? state.resolve(Journal.STORE) : state;
         try (Stream<Path> all = Files.list(folder)) {
-            return all.map(file -> file.getFileName().toString()).filter(name -> name.startsWith(store ? "segment" : JOURNAL)).sorted()
+            return all.map(file -> file.getFileName().toString()).filter(name -> name.startsWith(usesStore ? "segment" : JOURNAL)).sorted()
                     .toList();
         }
     }
 
     /** Takes back part of the last write; not where the turn went on to delete files, which comes after it. */
-    private void tear(int written) throws IOException {
+    private void truncateLastWrite(int written) throws IOException {
         List<String> now = files();
         if (!now.containsAll(filesBefore)) {
             return;
         }
-        Path folder = store ? state.resolve(Journal.STORE) : state;
+        Path folder = usesStore ? state.resolve(Journal.STORE) : state;
         try (FileChannel file = FileChannel.open(folder.resolve(now.get(now.size() - 1)), StandardOpenOption.WRITE)) {
-            file.truncate(Math.max(0, file.size() - 1 - world.below(written)));
+            file.truncate(Math.max(0, file.size() - 1 - world.nextIntBelow(written)));
         }
     }
 
@@ -387,60 +387,60 @@
     /** Has work done on the node's loop at this instant. */
     void run(Runnable work) {
         if (frozen) {
-            cameMeanwhile.add(work);
+            deferredWork.add(work);
         } else if (loop != null && party.up) {
             loop.execute(work);
-            lookAt(world.now());
+            scheduleRun(world.now());
         }
     }
 
-    private void lookAt(long when) {
-        if (when < looksAt) {
-            looksAt = when;
-            world.at(when, () -> {
+    private void scheduleRun(long when) {
+        if (when < nextRunAt) {
+            nextRunAt = when;
+            world.scheduleAt(when, () -> {
                 // One that an earlier look has overtaken is of no more use.
-                if (looksAt == when) {
-                    look();
+                if (nextRunAt == when) {
+                    runDueTasks();
                 }
             });
         }
     }
 
     /** Runs what is due, and comes back for what is next. */
-    private void look() {
-        looksAt = Long.MAX_VALUE;
+    private void runDueTasks() {
+        nextRunAt = Long.MAX_VALUE;
         if (loop == null || frozen) {
             return;
         }
-        WireLoop running = loop;
+        EmulatedEventLoop running = loop;
         while (running.runNow() > 0) {
             // A turn's end is a task of its own.
             continue;
         }
-        if (over) {
+        if (exited) {
             network().die(party, false);
-            gone();
-            world.later(restartAfter, this::startAgain);
+            processEnded();
+            world.scheduleIn(restartDelay, this::startIfDown);
             return;
         }
         long after = journal.size();
-        if (after != size) {
-            writes++;
-            if (store) {
-                noteFiles();
+        if (after != journalSize) {
+            writeCount++;
+            if (usesStore) {
+                recordFiles();
             }
-            writtenAt = world.now();
-            sizeBefore = after > size ? size : after;
-            size = after;
-            if (writes == killAtWrite) {
+            lastWriteAt = world.now();
+            previousJournalSize = after > journalSize ? journalSize : after;
+            journalSize = after;
+            if (writeCount == killAtWrite) {
                 kill(killMoment);
-                killed.run();
+                afterKill.run();
                 return;
             }
         }
-        long due = running.dueAt();
+        long due = running.nextTaskAt();
         if (due >= 0) {
-            lookAt(due);
+            scheduleRun(due);
         }
     }
 }
--- a/lab/src/main/java/wrenreach/lab/LabCommand.java
+++ b/lab/src/main/java/wrenreach/lab/LabCommand.java
@@ -26,7 +26,7 @@
 /** wrenreach lab: whole nodes in virtual time, judged by the rules, and experiments with them. */
 public final class LabCommand implements Command {
     /** Fleets of processes beside each other: more would be late themselves. */
-    private static final int SOAK_JOBS = 3;
+    private static final int DEFAULT_SOAK_JOBS = 3;
 
     @Override public String name() {
         return "lab";
@@ -54,20 +54,20 @@
             CommandLine line = new DefaultParser().parse(known, words.toArray(String[]::new));
             List<String> args = line.getArgList();
             String what = args.isEmpty() ? "" : args.get(0);
-            int jobs = number(line.getOptionValue("jobs", Integer.toString(Runtime.getRuntime().availableProcessors())));
+            int jobs = parseJobs(line.getOptionValue("jobs", Integer.toString(Runtime.getRuntime().availableProcessors())));
             if ((what.equals("run") || what.equals("load")) && args.size() == 2 && line.hasOption("out")) {
-                return experiment(Path.of(args.get(1)), Path.of(line.getOptionValue("out")), what.equals("load") ? 0 : jobs, out, err);
+                return runExperiment(Path.of(args.get(1)), Path.of(line.getOptionValue("out")), what.equals("load") ? 0 : jobs, out, err);
             } else if (what.equals("beside") && args.size() == 3 && line.hasOption("out")) {
-                return beside(Path.of(args.get(1)), Path.of(args.get(2)), Path.of(line.getOptionValue("out")), out);
+                return compareRuns(Path.of(args.get(1)), Path.of(args.get(2)), Path.of(line.getOptionValue("out")), out);
             } else if (what.equals("explore") && args.size() == 1 && line.getOptionValue("seeds", "").matches("\\d{1,9}\\.\\.\\d{1,9}")) {
                 String[] seeds = line.getOptionValue("seeds").split("\\.\\.");
-                return new Exploring(Path.of(line.getOptionValue("out", "found")), out).explore(Long.parseLong(seeds[0]),
+                return new SeedExplorer(Path.of(line.getOptionValue("out", "found")), out).explore(Long.parseLong(seeds[0]),
                         Long.parseLong(seeds[1]), 1000 * Unit.DURATION.parse(line.getOptionValue("for", "60s")), jobs);
             } else if (what.equals("replay") && args.size() == 2) {
                 return replay(Path.of(args.get(1)), out, err);
             }
             if (what.equals("soak") && args.size() == 1) {
-                return soak(line, line.hasOption("jobs") ? jobs : SOAK_JOBS, out, err);
+                return soak(line, line.hasOption("jobs") ? jobs : DEFAULT_SOAK_JOBS, out, err);
             }
             throw new ParseException(what.isEmpty() ? "lab: what is to be done?" : "lab " + what + ": not so");
         } catch (ParseException | IllegalArgumentException e) {
@@ -87,8 +87,8 @@
         Soak soak = new Soak(Path.of(line.getOptionValue("out", "soak")), out);
         if (line.hasOption("day")) {
             try {
-                return soak.again(Path.of(line.getOptionValue("day"))) ? 0 : 1;
-            } catch (Scenario.Unreadable e) {
+                return soak.replay(Path.of(line.getOptionValue("day"))) ? 0 : 1;
+            } catch (Scenario.InvalidScenarioException e) {
                 err.println(line.getOptionValue("day") + ": " + e.getMessage());
                 return 2;
             }
@@ -100,7 +100,7 @@
         return soak.play(Long.parseLong(seeds[0]), Long.parseLong(seeds[1]), jobs) == 0 ? 0 : 1;
     }
 
-    private static int number(String text) {
+    private static int parseJobs(String text) {
         if (!text.matches("[1-9]\\d{0,2}")) {
             throw new IllegalArgumentException("--jobs is a number from 1 to 999, not " + text);
         }
@@ -108,12 +108,12 @@
     }
 
     /** jobs: worlds beside each other; 0: real nodes, one day after the other. */
-    private static int experiment(Path file, Path folder, int jobs, PrintStream out, PrintStream err)
+    private static int runExperiment(Path file, Path folder, int jobs, PrintStream out, PrintStream err)
             throws IOException, InterruptedException {
         Experiment experiment;
         try {
             experiment = Experiment.read(file);
-        } catch (Experiment.Unusable e) {
+        } catch (Experiment.InvalidExperimentException e) {
             err.println(e.getMessage());
             return 2;
         } catch (IOException e) {
@@ -121,7 +121,7 @@
             return 2;
         }
         boolean real = jobs == 0;
-        List<String> objections = real ? Load.objections(experiment) : experiment.objections(false);
+        List<String> objections = real ? ProcessTrials.objections(experiment) : experiment.objections(false);
         if (!objections.isEmpty()) {
             objections.forEach(why -> err.println(file + ": " + why));
             return 2;
@@ -136,29 +136,29 @@
                     err.flush();
                 }
             };
-            List<Trials.Trial> trials = real ? Load.play(experiment, files.logs(), progress) : Trials.play(experiment, jobs, progress);
+            List<ExperimentRunner.DayResult> trials = real ? ProcessTrials.play(experiment, files.logFolder(), progress) : ExperimentRunner.play(experiment, jobs, progress);
             files.write(experiment, trials, real);
             out.println(experiment.about().about());
-            out.println(Figures.head((real ? "real nodes, " : "emulated, ") + experiment.sweep().figure()));
-            Trials.together(trials).forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) ->
-                    out.println(figures.line(value + " " + dispatcher))));
+            out.println(DeliveryMetrics.tableHeader((real ? "real nodes, " : "emulated, ") + experiment.sweep().figure()));
+            ExperimentRunner.mergeDays(trials).forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) ->
+                    out.println(figures.tableRow(value + " " + dispatcher))));
             int own = 0;
-            for (Trials.Trial trial : trials) {
+            for (ExperimentRunner.DayResult trial : trials) {
                 if (trial.dispatcher().equals("wrenreach")) {
-                    trial.breaks().forEach(one -> out.println("seed " + trial.seed() + " breaks " + one.rule() + ": " + one.what()));
-                    own += trial.breaks().size() + trial.neverCame().size();
-                    trial.verdict().unjudged().forEach(one -> out.println("seed " + trial.seed() + " can't tell of " + one.rule() + ": "
+                    trial.violations().forEach(one -> out.println("seed " + trial.seed() + " breaks " + one.rule() + ": " + one.what()));
+                    own += trial.violations().size() + trial.unmetConditions().size();
+                    trial.verdict().inconclusive().forEach(one -> out.println("seed " + trial.seed() + " can't tell of " + one.rule() + ": "
                             + one.what() + "; those who watched were late themselves"));
-                    trial.neverCame().forEach(what -> out.println("seed " + trial.seed() + ":" + what));
+                    trial.unmetConditions().forEach(what -> out.println("seed " + trial.seed() + ":" + what));
                 }
             }
             out.println("report: " + folder.resolve("report.html"));
-            out.println(Trials.print(trials));
+            out.println(ExperimentRunner.fingerprint(trials));
             return own == 0 ? 0 : 1;
         }
     }
 
-    private static int beside(Path left, Path right, Path file, PrintStream out) throws IOException {
+    private static int compareRuns(Path left, Path right, Path file, PrintStream out) throws IOException {
         String page = new Report().page(left.toString(), RunFiles.read(left), right.toString(), RunFiles.read(right));
         Files.writeString(file, page);
         out.println("report: " + file);
@@ -166,8 +166,8 @@
     }
 
     /** Plays drawn days beside each other, and tells of them in the order of their seeds. */
-    private record Exploring(Path folder, PrintStream out) {
-        private record Day(Scenario scenario, List<Rules.Break> breaks, long emulated) { }
+    private record SeedExplorer(Path folder, PrintStream out) {
+        private record PlayedDay(Scenario scenario, List<Rules.Violation> violations, long emulatedNanos) { }
 
         int explore(long from, long to, long nanos, int jobs) throws IOException, InterruptedException {
             Files.createDirectories(folder);
@@ -178,18 +178,18 @@
             int broken = 0;
             try {
                 for (long seed = from; seed <= to && System.nanoTime() - begin < nanos; seed += 4L * jobs) {
-                    List<Future<Day>> under = new ArrayList<>();
+                    List<Future<PlayedDay>> under = new ArrayList<>();
                     for (long one = seed; one <= to && one < seed + 4L * jobs; one++) {
-                        Scenario scenario = Scenario.drawn(one);
-                        under.add(pool.submit(() -> played(scenario)));
+                        Scenario scenario = Scenario.generate(one);
+                        under.add(pool.submit(() -> play(scenario)));
                     }
-                    for (Future<Day> one : under) {
-                        Day day = one.get();
+                    for (Future<PlayedDay> one : under) {
+                        PlayedDay day = one.get();
                         played++;
-                        emulated += day.emulated;
-                        if (!day.breaks.isEmpty()) {
+                        emulated += day.emulatedNanos;
+                        if (!day.violations.isEmpty()) {
                             broken++;
-                            keep(day);
+                            saveShrunk(day);
                         }
                     }
                 }
@@ -204,14 +204,14 @@
             return broken == 0 ? 0 : 1;
         }
 
-        private static Day played(Scenario scenario) {
-            Play play = Play.of(scenario, DeliveryDispatcher::new);
-            return new Day(scenario, Rules.judge(scenario, play.world.facts, play.settings, play.world.now()), play.world.now());
+        private static PlayedDay play(Scenario scenario) {
+            ScenarioRun play = ScenarioRun.of(scenario, DeliveryDispatcher::new);
+            return new PlayedDay(scenario, Rules.judge(scenario, play.world.facts, play.settings, play.world.now()), play.world.now());
         }
 
-        private void keep(Day day) throws IOException {
-            Rules.Break first = day.breaks.get(0);
-            Scenario least = new Explore(DeliveryDispatcher::new).shrink(day.scenario, first.rule());
+        private void saveShrunk(PlayedDay day) throws IOException {
+            Rules.Violation first = day.violations.get(0);
+            Scenario least = new ScenarioShrinker(DeliveryDispatcher::new).shrink(day.scenario, first.rule());
             Path file = folder.resolve(first.rule().name().toLowerCase(Locale.ROOT) + "-" + day.scenario.seed() + ".day");
             Files.writeString(file, "# " + first.what() + System.lineSeparator() + least.text());
             out.printf("seed %d breaks %s: %s; kept as %s with %d faults%n", day.scenario.seed(), first.rule(), first.what(), file,
@@ -223,16 +223,16 @@
         Scenario scenario;
         try {
             scenario = Scenario.parse(Files.readAllLines(file));
-        } catch (Scenario.Unreadable e) {
+        } catch (Scenario.InvalidScenarioException e) {
             err.println(file + ": " + e.getMessage());
             return 2;
         }
-        Play play = Play.of(scenario, DeliveryDispatcher::new);
+        ScenarioRun play = ScenarioRun.of(scenario, DeliveryDispatcher::new);
         play.timeline().forEach(out::println);
-        List<Rules.Break> breaks = Rules.judge(scenario, play.world.facts, play.settings, play.world.now());
-        breaks.forEach(one -> out.printf(Locale.ROOT, "%10.4f s  BROKEN %s: %s%n", (one.at() - World.BEGIN) / 1e9, one.rule(),
+        List<Rules.Violation> breaks = Rules.judge(scenario, play.world.facts, play.settings, play.world.now());
+        breaks.forEach(one -> out.printf(Locale.ROOT, "%10.4f s  BROKEN %s: %s%n", (one.at() - World.START_NS) / 1e9, one.rule(),
                 one.what()));
-        out.println(play.world.print());
+        out.println(play.world.factsHash());
         return breaks.isEmpty() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/wrenreach/lab/Network.java
+++ b/lab/src/main/java/wrenreach/lab/Network.java
@@ -30,7 +30,7 @@
     }
 
     /** Who waits for a connect. */
-    interface Connecting {
+    interface ConnectHandler {
         /** It came up; the end that will hear of it. */
         End opened(Link link);
 
@@ -42,14 +42,14 @@
         final String name;
         final Set<Link> links = new LinkedHashSet<>();
         /** What it sent at the present instant: a kill at that instant may take it back. */
-        final List<WireNetwork.Flight> sent = new ArrayList<>();
+        final List<EmulatedNetwork.InTransit> sentNow = new ArrayList<>();
         long sentAt = -1;
         boolean up = true;
         /** While it is not up: whether it is gone without a word. */
         boolean vanished;
         int zone;
         /** Who found it gone since it was last up. */
-        final Set<Party> missedBy = Collections.newSetFromMap(new IdentityHashMap<>());
+        final Set<Party> foundGoneBy = Collections.newSetFromMap(new IdentityHashMap<>());
 
         Party(String name) {
             this.name = name;
@@ -58,12 +58,12 @@
 
     /** One connection, seen from whom it was asked for (a) and who took it (b). */
     abstract static class Link {
-        final Party a;
-        final Party b;
+        final Party initiator;
+        final Party acceptor;
 
         Link(Party a, Party b) {
-            this.a = a;
-            this.b = b;
+            this.initiator = a;
+            this.acceptor = b;
         }
 
         /** Sends bytes from one side. */
@@ -73,7 +73,7 @@
         abstract void close(End from);
 
         /** Whether the one who asked for the connection has closed its side. */
-        abstract boolean closedByAsker();
+        abstract boolean closedByInitiator();
     }
 
     abstract void listen(InetSocketAddress at, Listener listener);
@@ -81,19 +81,19 @@
     abstract void unlisten(InetSocketAddress at, Listener listener);
 
     /** Asks for a connection; it comes up, is refused, or nothing is heard. */
-    abstract void connect(Party from, InetSocketAddress own, InetSocketAddress to, Connecting asks);
+    abstract void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler asks);
 
     /** One way between two parties, by their names; who changes it says so with {@link #changed}. */
-    abstract LinkDirection way(String from, String to);
+    abstract LinkDirection direction(String from, String to);
 
     /** What is wrong between the two, either way, has changed. */
-    abstract void changed(String a, String b);
+    abstract void impairmentsChanged(String a, String b);
 
     /** All connections between the two break. */
     abstract void reset(String a, String b);
 
     /** What carries the links between the two dies with all connections, or is there again. */
-    abstract void relay(String a, String b, boolean dead);
+    abstract void setRelayDead(String a, String b, boolean dead);
 
     /** The party's process dies: its connections break. takeBack: what it sent at this instant never left it. */
     abstract void die(Party party, boolean takeBack);
--- a/lab/src/main/java/wrenreach/lab/Platform.java
+++ b/lab/src/main/java/wrenreach/lab/Platform.java
@@ -10,14 +10,14 @@
 
 /** Discovery and the platform, as one node's agent shows them. */
 final class Platform implements Network.Listener {
-    private static final long BEAT = 2_000_000_000L;
+    private static final long HEARTBEAT_INTERVAL_NS = 2_000_000_000L;
     private static final Pattern NOTICE = Pattern.compile("\"id\":\"([^\"]+)\",\"status\":\"([^\"]+)\"");
 
     private final World world;
     private final String node;
     private final Network.Party party;
     private final Supplier<String> list;
-    private final List<HttpPeer> watches = new ArrayList<>();
+    private final List<HttpConnection> listStreams = new ArrayList<>();
 
     /** It is to be had at the address and at the next port. list: the whole list as discovery words it, at the instant it is asked for. */
     Platform(World world, String node, InetSocketAddress address, Supplier<String> list) {
@@ -27,33 +27,33 @@
         party = new Network.Party("platform-" + node);
         world.network.listen(address, this);
         world.network.listen(new InetSocketAddress(address.getAddress(), address.getPort() + 1), this);
-        beat();
+        sendHeartbeats();
     }
 
     @Override public Network.Party party() {
         return party;
     }
 
-    private void beat() {
-        watches.removeIf(watch -> watch.over);
-        watches.forEach(watch -> chunk(watch, "\n"));
-        world.later(BEAT, this::beat);
+    private void sendHeartbeats() {
+        listStreams.removeIf(watch -> watch.closed);
+        listStreams.forEach(watch -> writeChunk(watch, "\n"));
+        world.scheduleIn(HEARTBEAT_INTERVAL_NS, this::sendHeartbeats);
     }
 
-    private static void chunk(HttpPeer watch, String text) {
+    private static void writeChunk(HttpConnection watch, String text) {
         watch.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
     /** The list has changed. */
-    void changed() {
-        watches.forEach(watch -> chunk(watch, list.get() + "\n"));
+    void listChanged() {
+        listStreams.forEach(watch -> writeChunk(watch, list.get() + "\n"));
     }
 
     @Override public Network.End accepted(Network.Link link, InetSocketAddress from) {
-        return new HttpPeer(link) {
-            @Override void begins(String head) { }
+        return new HttpConnection(link) {
+            @Override void requestBegins(String head) { }
 
-            @Override void asked(Request request) {
+            @Override void requestReceived(Request request) {
                 if (request.path().startsWith("/v2/finals")) {
                     Matcher notices = NOTICE.matcher(new String(request.body(), StandardCharsets.UTF_8));
                     while (notices.find()) {
@@ -62,8 +62,8 @@
                     write("HTTP/1.1 204 No Content\r\n\r\n");
                 } else if (request.path().contains("stream=1")) {
                     write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    chunk(this, list.get() + "\n");
-                    watches.add(this);
+                    writeChunk(this, list.get() + "\n");
+                    listStreams.add(this);
                 } else {
                     String text = list.get();
                     write("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
--- a/lab/src/main/java/wrenreach/lab/ProcessNode.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessNode.java
@@ -22,14 +22,14 @@
  */
 final class ProcessNode extends FleetNode {
     /** When the platform starts a process again that has ended by itself; between two looks whether it listens. */
-    private static final long RESTART = 500_000_000, LOOK = 20_000_000;
+    private static final long RESTART_DELAY_NS = 500_000_000, PROBE_INTERVAL_NS = 20_000_000;
     private static final String OPERATOR = "operator.toml", CONFIG = "config.json", MAIN = "wrenreach.app.Launch";
     /** Options as small machines have them. */
-    private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx48m", "-XX:MaxDirectMemorySize=68m",
+    private static final List<String> JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx48m", "-XX:MaxDirectMemorySize=68m",
             "-XX:TieredStopAtLevel=1");
 
     /** What a node is run from: a class path, and a class with the words that go before those of every node. */
-    record Build(String classPath, List<String> main) {
+    record Build(String classPath, List<String> mainCommand) {
         private static final String CLASS = "class ";
 
         /** The build that plays. */
@@ -53,34 +53,34 @@
     }
 
     /** What all nodes of a run share. log: takes each line that a node writes, with its name, on a thread of the node's own. */
-    record Run(RealWorld world, EventLoop loop, Relays relays, Keeper keeper, Path folder, long seed, Consumer<String> log) { }
+    record RunContext(RealWorld world, EventLoop loop, Relays relays, ProcessReaper reaper, Path folder, long seed, Consumer<String> log) { }
 
-    private final Run run;
+    private final RunContext run;
     private final RealWorld world;
     private final Build build;
     private final Path folder;
     private final Path state;
     /** Where it listens itself; clients find it behind a relay. */
-    private final InetSocketAddress listens;
-    private final Network.Party looks = new Network.Party("looks");
+    private final InetSocketAddress listenAddress;
+    private final Network.Party probeParty = new Network.Party("looks");
     /** Its failing system calls; null: none is ever to fail. */
     private final SystemCallFaults systemCalls;
     private Process process;
     private boolean serves;
-    private boolean over;
+    private boolean endedForGood;
     /** The process has been ended or told to end, or can't start. */
-    private boolean ending;
-    private boolean killsInWrite;
+    private boolean exitExpected;
+    private boolean killInWritePending;
     private boolean isolated;
-    private long restartAfter;
+    private long restartDelay;
 
     /** json: its config; operator: the operator's file, empty: none; failsCalls: whether its system calls may be made to fail. */
-    ProcessNode(Run run, Build build, String name, InetSocketAddress front, InetSocketAddress listens, String json, String operator,
+    ProcessNode(RunContext run, Build build, String name, InetSocketAddress front, InetSocketAddress listens, String json, String operator,
             boolean failsCalls) {
         super(name, front);
         this.run = run;
         this.build = build;
-        this.listens = listens;
+        this.listenAddress = listens;
         world = run.world;
         folder = run.folder.resolve(name);
         state = folder.resolve("state");
@@ -101,61 +101,61 @@
     }
 
     @Override void start() {
-        if (over) {
+        if (endedForGood) {
             return;
         }
-        restartAfter = RESTART;
+        restartDelay = RESTART_DELAY_NS;
         serves = false;
-        ending = broken || !Files.isDirectory(state);
+        exitExpected = failsToStart || !Files.isDirectory(state);
         if (isolated) {
             isolated = false;
             run.relays.isolate(name, false);
         }
         List<String> words = new ArrayList<>();
-        if (deaf) {
+        if (ignoresTerm) {
             // Ignored when a JVM begins, the signal stays so.
             words.addAll(List.of("/bin/sh", "-c", "trap '' TERM; exec \"$@\"", "sh"));
         }
         words.add(java());
-        words.addAll(OPTIONS);
+        words.addAll(JVM_OPTIONS);
         words.addAll(List.of("-cp", build.classPath));
-        words.addAll(build.main);
+        words.addAll(build.mainCommand);
         words.addAll(List.of("serve", "--config",
-                folder.resolve(broken ? "no-config.json" : CONFIG).toString(), "--state", state.toString()));
+                folder.resolve(failsToStart ? "no-config.json" : CONFIG).toString(), "--state", state.toString()));
         if (Files.exists(folder.resolve(OPERATOR))) {
             words.addAll(List.of("--operator", folder.resolve(OPERATOR).toString()));
         }
         try {
             ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
             if (systemCalls != null) {
-                systemCalls.into(builder.environment());
+                systemCalls.addToEnvironment(builder.environment());
             }
             process = builder.start();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         Process started = process;
-        run.keeper.started(started.toHandle());
-        Thread reads = new Thread(() -> read(started), "log-" + name);
+        run.reaper.started(started.toHandle());
+        Thread reads = new Thread(() -> readLog(started), "log-" + name);
         reads.setDaemon(true);
         reads.start();
         process.onExit().thenRun(() -> {
-            run.keeper.ended(started.pid());
+            run.reaper.ended(started.pid());
             if (!run.loop.isShuttingDown()) {
-                run.loop.execute(() -> ended(started));
+                run.loop.execute(() -> processExited(started));
             }
         });
-        if (startsLater > 0) {
-            long length = startsLater;
-            startsLater = 0;
+        if (startupFreeze > 0) {
+            long length = startupFreeze;
+            startupFreeze = 0;
             signal("STOP");
-            world.later(length, () -> {
+            world.scheduleIn(length, () -> {
                 if (started == process) {
                     signal("CONT");
                 }
             });
         }
-        world.later(LOOK, () -> look(started));
+        world.scheduleIn(PROBE_INTERVAL_NS, () -> probeListener(started));
     }
 
     static String java() {
@@ -172,7 +172,7 @@
         }
     }
 
-    private void read(Process from) {
+    private void readLog(Process from) {
         try (BufferedReader lines = new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 run.log.accept(name + " | " + line);
@@ -182,40 +182,40 @@
         }
     }
 
-    private void look(Process started) {
+    private void probeListener(Process started) {
         if (started != process || !started.isAlive() || serves) {
             return;
         }
-        world.network.connect(looks, null, listens, new Network.Connecting() {
+        world.network.connect(probeParty, null, listenAddress, new Network.ConnectHandler() {
             @Override public Network.End opened(Network.Link link) {
                 link.close(null);
                 if (!serves && started == process) {
                     serves = true;
-                    run.relays.listens(name, true);
+                    run.relays.setListening(name, true);
                     world.record(new Fact.Serves(world.now(), name));
                 }
                 return null;
             }
 
             @Override public void refused() {
-                world.later(LOOK, () -> look(started));
+                world.scheduleIn(PROBE_INTERVAL_NS, () -> probeListener(started));
             }
         });
     }
 
-    private void ended(Process started) {
-        if (over || started != process) {
+    private void processExited(Process started) {
+        if (endedForGood || started != process) {
             return;
         }
         serves = false;
-        if (killsInWrite) {
-            killsInWrite = false;
-            systemCalls.fail(SystemCallFaults.Call.FOLDER, 0, SystemCallFaults.DRAWN);
+        if (killInWritePending) {
+            killInWritePending = false;
+            systemCalls.fail(SystemCallFaults.Call.FOLDER, 0, SystemCallFaults.RANDOM_ERROR);
         }
-        run.relays.listens(name, false);
-        world.record(new Fact.Died(world.now(), name, !ending));
-        if (restartAfter > 0) {
-            world.later(restartAfter, () -> {
+        run.relays.setListening(name, false);
+        world.record(new Fact.Died(world.now(), name, !exitExpected));
+        if (restartDelay > 0) {
+            world.scheduleIn(restartDelay, () -> {
                 if (!up()) {
                     start();
                 }
@@ -230,8 +230,8 @@
 
     @Override void kill() {
         if (up()) {
-            restartAfter = 0;
-            ending = true;
+            restartDelay = 0;
+            exitExpected = true;
             process.destroyForcibly();
             try {
                 // What comes next is done to the folder of a process that is gone. A kill takes milliseconds.
@@ -246,11 +246,11 @@
         if (!up()) {
             return;
         }
-        restartAfter = startsAfter;
-        ending = true;
+        restartDelay = startsAfter;
+        exitExpected = true;
         Process stopping = process;
         signal("TERM");
-        world.later(STOP_PATIENCE, () -> {
+        world.scheduleIn(STOP_TIMEOUT_NS, () -> {
             if (stopping == process && stopping.isAlive()) {
                 stopping.destroyForcibly();
             }
@@ -269,14 +269,14 @@
         }
     }
 
-    @Override void state(State what) {
+    @Override void changeStateFolder(State what) {
         Path aside = folder.resolve("aside");
         Path away = folder.resolve("away");
         try {
             switch (what) {
-                case KEPT_ASIDE -> LabNode.copy(state, aside);
-                case PUT_BACK -> LabNode.copy(aside, state);
-                case LOST -> LabNode.copy(folder.resolve("nothing"), state);
+                case KEPT_ASIDE -> InMemoryNode.copy(state, aside);
+                case PUT_BACK -> InMemoryNode.copy(aside, state);
+                case LOST -> InMemoryNode.copy(folder.resolve("nothing"), state);
                 // A mode of the folder would not stop the superuser; a file in the folder's place stops everyone.
                 case READ_ONLY -> {
                     Files.move(state, away);
@@ -301,15 +301,15 @@
 
     @Override void killInWrite(long startsAfter) {
         if (up()) {
-            restartAfter = startsAfter;
-            ending = true;
-            killsInWrite = true;
+            restartDelay = startsAfter;
+            exitExpected = true;
+            killInWritePending = true;
             systemCalls.fail(SystemCallFaults.Call.FOLDER, 1, SystemCallFaults.KILLED_IN_WRITE);
         }
     }
 
-    @Override void stepWall(long nanos) {
-        systemCalls.stepWall(nanos);
+    @Override void stepWallClock(long nanos) {
+        systemCalls.stepWallClock(nanos);
     }
 
     @Override void reload(int port) {
@@ -340,8 +340,8 @@
     }
 
     /** Ends the process for good. */
-    void end() {
-        over = true;
+    void endForGood() {
+        endedForGood = true;
         if (process != null) {
             process.destroyForcibly();
         }
--- a/lab/src/main/java/wrenreach/lab/Keeper.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessReaper.java
@@ -19,31 +19,31 @@
  * left when the run's own process is gone, however it went. A process is known by its id and the instant at which it began,
  * so that one which got the same id later is not touched.
  */
-public final class Keeper implements AutoCloseable {
+public final class ProcessReaper implements AutoCloseable {
     private final Process process;
-    private final PrintStream tells;
+    private final PrintStream commands;
 
     /** Starts the keeper's process; it needs nothing but where this class lies. */
-    Keeper() throws IOException {
+    ProcessReaper() throws IOException {
         String classPath;
         try {
-            classPath = Path.of(Keeper.class.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
+            classPath = Path.of(ProcessReaper.class.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
         } catch (URISyntaxException e) {
             throw new IllegalStateException(e);
         }
         process = new ProcessBuilder(ProcessNode.java(), "-XX:+UseSerialGC", "-Xmx16m", "-XX:TieredStopAtLevel=1", "-cp",
-                classPath, Keeper.class.getName()).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-        tells = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
+                classPath, ProcessReaper.class.getName()).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
     /** The run has started this process. */
     synchronized void started(ProcessHandle one) {
-        tells.println("+ " + one.pid() + " " + one.info().startInstant().map(Instant::toEpochMilli).orElse(0L));
+        commands.println("+ " + one.pid() + " " + one.info().startInstant().map(Instant::toEpochMilli).orElse(0L));
     }
 
     /** It has ended. */
     synchronized void ended(long pid) {
-        tells.println("- " + pid);
+        commands.println("- " + pid);
     }
 
     boolean alive() {
@@ -52,7 +52,7 @@
 
     /** The run is over, and so is the keeper; what it still knows of is ended. */
     @Override public void close() {
-        tells.close();
+        commands.close();
     }
 
     /** Reads what has started and ended until the run is gone. */
--- a/lab/src/main/java/wrenreach/lab/RealWorld.java
+++ b/lab/src/main/java/wrenreach/lab/RealWorld.java
@@ -7,9 +7,9 @@
 /** The same stand-ins in real time, on one event loop and the machine's loopback. All but {@link #stop} is the loop's. */
 final class RealWorld extends World {
     /** Between two looks at the own lateness, and from when on what the clocks say is doubted. */
-    private static final long LOOK = 10_000_000, DOUBTED = 40_000_000;
+    private static final long LATENESS_CHECK_INTERVAL_NS = 10_000_000, LATENESS_LIMIT_NS = 40_000_000;
     private final EventLoop loop;
-    private final long origin = System.nanoTime() - BEGIN;
+    private final long origin = System.nanoTime() - START_NS;
     private volatile Throwable failed;
 
     RealWorld(long seed, EventLoop loop, Relays relays) {
@@ -18,14 +18,14 @@
     }
 
     /** Notes from now on when this loop itself is late. */
-    void watchItself() {
-        long due = now() + LOOK;
-        at(due, () -> {
+    void watchLateness() {
+        long due = now() + LATENESS_CHECK_INTERVAL_NS;
+        scheduleAt(due, () -> {
             long late = now() - due;
-            if (late > DOUBTED) {
+            if (late > LATENESS_LIMIT_NS) {
                 record(new Fact.Late(now(), late));
             }
-            watchItself();
+            watchLateness();
         });
     }
 
@@ -33,7 +33,7 @@
         return System.nanoTime() - origin;
     }
 
-    @Override void at(long when, Runnable work) {
+    @Override void scheduleAt(long when, Runnable work) {
         try {
             loop.schedule(() -> {
                 try {
--- a/lab/src/main/java/wrenreach/lab/Relays.java
+++ b/lab/src/main/java/wrenreach/lab/Relays.java
@@ -23,12 +23,12 @@
  * each receiver, and for datagrams between each two nodes. Each lies at an address of its own and comes from one of its own,
  * so that who asks is known. All of it is used on one loop. Bounded by the fleet: nodes times nodes, receivers and three more.
  */
-final class Relays implements Play.Places {
+final class Relays implements ScenarioRun.AddressPlan {
     private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
     /** Nets of a run: as seen by clients, platforms, receivers behind node 0 and so on, datagrams from node 0 and so on. */
-    private static final int FRONT = 10, PLATFORM = 11, RECEIVERS = 20, PEERS = 60, ASKS = 100, MOST = 200;
+    private static final int CLIENT_NET = 10, PLATFORM_NET = 11, FIRST_RECEIVER_NET = 20, FIRST_PEER_NET = 60, FIRST_SOURCE_NET = 100, MAX_PARTIES = 200;
 
-    private record Lies(String from, String to, TcpRelay relay) {
+    private record PlacedRelay(String from, String to, TcpRelay relay) {
         boolean between(String a, String b) {
             return from.equals(a) && to.equals(b) || from.equals(b) && to.equals(a);
         }
@@ -44,10 +44,10 @@
     private final int nodes;
     private final DoubleSupplier chance;
     private final Consumer<String> log;
-    private final Map<String, LinkDirection> ways = new HashMap<>();
-    private final List<Lies> relays = new ArrayList<>();
+    private final Map<String, LinkDirection> directions = new HashMap<>();
+    private final List<PlacedRelay> relays = new ArrayList<>();
     private final Map<String, UdpRelay> peers = new LinkedHashMap<>();
-    private final Map<InetAddress, Network.Party> askers = new HashMap<>();
+    private final Map<InetAddress, Network.Party> partiesBySource = new HashMap<>();
     private final Map<String, Network.Party> parties = new LinkedHashMap<>();
     private final Set<String> isolated = new HashSet<>();
     private String failed = "";
@@ -61,51 +61,51 @@
         this.log = log;
     }
 
-    private InetSocketAddress at(int net, int number, int port) {
+    private InetSocketAddress address(int net, int number, int port) {
         return new InetSocketAddress("127." + slot + "." + net + "." + (number + 1), port);
     }
 
-    @Override public InetSocketAddress place(int net, int number, int port) {
-        if (number >= MOST) {
-            throw new IllegalStateException("more than " + MOST + " parties of a kind");
+    @Override public InetSocketAddress addressOf(int net, int number, int port) {
+        if (number >= MAX_PARTIES) {
+            throw new IllegalStateException("more than " + MAX_PARTIES + " parties of a kind");
         }
-        return at(net, number, port);
+        return address(net, number, port);
     }
 
-    @Override public InetSocketAddress platform(int node) {
-        return at(PLATFORM, node, Play.PLATFORM);
+    @Override public InetSocketAddress platformAddress(int node) {
+        return address(PLATFORM_NET, node, ScenarioRun.PLATFORM_PORT);
     }
 
-    @Override public InetSocketAddress receiver(int node, Receiver receiver) {
-        return at(RECEIVERS + node, receiver.number(), Play.RECEIVER);
+    @Override public InetSocketAddress receiverAddress(int node, Receiver receiver) {
+        return address(FIRST_RECEIVER_NET + node, receiver.number(), ScenarioRun.RECEIVER_PORT);
     }
 
     /** Where clients find a node. */
-    InetSocketAddress front(int node) {
-        return at(FRONT, node, Play.DOOR);
+    InetSocketAddress clientAddress(int node) {
+        return address(CLIENT_NET, node, ScenarioRun.LISTENER_PORT);
     }
 
     /** Where a node finds another one's datagrams. */
-    InetSocketAddress peer(int node, int other, int port) {
-        return at(PEERS + node, other, port);
+    InetSocketAddress peerAddress(int node, int other, int port) {
+        return address(FIRST_PEER_NET + node, other, port);
     }
 
-    @Override public void added(Receiver receiver) {
+    @Override public void receiverAdded(Receiver receiver) {
         for (int node = 0; node < nodes; node++) {
-            relay("n" + node, receiver.name, receiver(node, receiver), at(ASKS + node, 0, 0), receiver.address);
+            addRelay("n" + node, receiver.name, receiverAddress(node, receiver), address(FIRST_SOURCE_NET + node, 0, 0), receiver.address);
         }
     }
 
     /** Begins all links of a node but those to receivers. */
-    void node(int node) {
+    void addNode(int node) {
         String name = "n" + node;
         Network.Party party = new Network.Party(name);
         parties.put(name, party);
-        askers.put(at(ASKS + node, 0, 0).getAddress(), party);
-        relay("clients", name, front(node), at(ASKS, MOST, 0), place(7, node, Play.DOOR));
-        listens(name, false);
-        for (int port : List.of(Play.PLATFORM, Play.PLATFORM + 1)) {
-            relay(name, "platform-" + name, at(PLATFORM, node, port), at(ASKS + node, 0, 0), place(9, node, port));
+        partiesBySource.put(address(FIRST_SOURCE_NET + node, 0, 0).getAddress(), party);
+        addRelay("clients", name, clientAddress(node), address(FIRST_SOURCE_NET, MAX_PARTIES, 0), addressOf(7, node, ScenarioRun.LISTENER_PORT));
+        setListening(name, false);
+        for (int port : List.of(ScenarioRun.PLATFORM_PORT, ScenarioRun.PLATFORM_PORT + 1)) {
+            addRelay(name, "platform-" + name, address(PLATFORM_NET, node, port), address(FIRST_SOURCE_NET + node, 0, 0), addressOf(9, node, port));
         }
     }
 
@@ -113,8 +113,8 @@
     void peers(int port) {
         for (int a = 0; a < nodes; a++) {
             for (int b = a + 1; b < nodes; b++) {
-                UdpRelay relay = new UdpRelay(loop, new UdpRelay.Side(place(7, a, port), peer(a, b, port)),
-                        new UdpRelay.Side(place(7, b, port), peer(b, a, port)), way("n" + a, "n" + b), way("n" + b, "n" + a), chance);
+                UdpRelay relay = new UdpRelay(loop, new UdpRelay.Side(addressOf(7, a, port), peerAddress(a, b, port)),
+                        new UdpRelay.Side(addressOf(7, b, port), peerAddress(b, a, port)), direction("n" + a, "n" + b), direction("n" + b, "n" + a), chance);
                 String name = "datagrams n" + a + "-n" + b;
                 relay.start().addListener(done -> {
                     if (!done.isSuccess()) {
@@ -126,12 +126,12 @@
         }
     }
 
-    private void relay(String from, String to, InetSocketAddress at, InetSocketAddress own, InetSocketAddress target) {
-        TcpRelay relay = new TcpRelay(loop, at, own, target, way(from, to), way(to, from), chance, why -> {
+    private void addRelay(String from, String to, InetSocketAddress at, InetSocketAddress own, InetSocketAddress target) {
+        TcpRelay relay = new TcpRelay(loop, at, own, target, direction(from, to), direction(to, from), chance, why -> {
             failed = from + ">" + to + ": " + why;
             log.accept(failed);
         });
-        relays.add(new Lies(from, to, relay));
+        relays.add(new PlacedRelay(from, to, relay));
         relay.start();
     }
 
@@ -146,26 +146,26 @@
         log.accept(why);
     }
 
-    Network.Party asks(InetAddress from) {
-        return askers.computeIfAbsent(from, address -> new Network.Party("?"));
+    Network.Party partyAt(InetAddress from) {
+        return partiesBySource.computeIfAbsent(from, address -> new Network.Party("?"));
     }
 
     /** All nodes, as receivers know them. */
-    Collection<Network.Party> all() {
+    Collection<Network.Party> allNodes() {
         return parties.values();
     }
 
-    LinkDirection way(String from, String to) {
-        return ways.computeIfAbsent(from + ">" + to, name -> new LinkDirection());
+    LinkDirection direction(String from, String to) {
+        return directions.computeIfAbsent(from + ">" + to, name -> new LinkDirection());
     }
 
-    void changed(String a, String b) {
+    void impairmentsChanged(String a, String b) {
         relays.stream().filter(one -> one.between(a, b)).forEach(one -> one.relay.changed());
-        log.accept(a + "-" + b + " changes: " + told(a, b) + ", " + told(b, a));
+        log.accept(a + "-" + b + " changes: " + describe(a, b) + ", " + describe(b, a));
     }
 
-    private String told(String a, String b) {
-        LinkDirection way = way(a, b);
+    private String describe(String a, String b) {
+        LinkDirection way = direction(a, b);
         return a + ">" + b + (way.isHealthy() ? " sound" : way.isCut() ? " cut" : way.refuses() ? " refuses" : " troubled");
     }
 
@@ -176,7 +176,7 @@
         });
     }
 
-    void dead(String a, String b, boolean dead) {
+    void setDead(String a, String b, boolean dead) {
         log.accept(a + "-" + b + ": relay " + (dead ? "dies" : "starts"));
         relays.stream().filter(one -> one.between(a, b)).forEach(one -> {
             if (dead) {
@@ -188,7 +188,7 @@
     }
 
     /** Whether somebody listens at the party. */
-    void listens(String party, boolean on) {
+    void setListening(String party, boolean on) {
         relays.stream().filter(one -> one.to.equals(party)).forEach(one -> one.relay.targetUp(on));
     }
 
@@ -198,7 +198,7 @@
             return;
         }
         relays.stream().filter(one -> one.of(party)).forEach(one -> {
-            for (LinkDirection way : List.of(way(one.from, one.to), way(one.to, one.from))) {
+            for (LinkDirection way : List.of(direction(one.from, one.to), direction(one.to, one.from))) {
                 if (on) {
                     way.begin(CUT);
                 } else {
@@ -222,7 +222,7 @@
     }
 
     /** What each link carried, a line each. */
-    List<String> carried() {
+    List<String> trafficSummary() {
         List<String> all = new ArrayList<>();
         relays.forEach(one -> all.add(one.from + ">" + one.to + ": " + one.relay.opened() + " connections"));
         peers.forEach((name, relay) -> all.add(name + ": " + relay.passed() + " passed, " + relay.lost() + " lost"));
--- a/lab/src/main/java/wrenreach/lab/Rules.java
+++ b/lab/src/main/java/wrenreach/lab/Rules.java
@@ -23,42 +23,42 @@
      * and its successor gave up with no call; DIED is a process that ended though nobody had ended it.
      */
     enum Rule {
-        LOST(Rules::lost), TWICE(Rules::twice), DRAIN(Rules::drains), PUSHED_OVER(Rules::pushedOver), ORDER(Rules::order),
-        WAIT(Rules::waits), UNTRUE(Rules::untrue), UNTRIED(Rules::untried), DIED(Rules::died);
+        LOST(Rules::checkEndings), TWICE(Rules::checkDuplicates), DRAIN(Rules::checkDrains), PUSHED_OVER(Rules::checkOverload), ORDER(Rules::checkOrder),
+        WAIT(Rules::checkRetryAfter), UNTRUE(Rules::checkFinalStatus), UNTRIED(Rules::checkUntried), DIED(Rules::checkDeaths);
 
-        private final Consumer<Rules> oracle;
+        private final Consumer<Rules> check;
 
         Rule(Consumer<Rules> oracle) {
-            this.oracle = oracle;
+            this.check = oracle;
         }
     }
 
     /** One break: where it shows, and in words. */
-    record Break(Rule rule, long at, String what) { }
+    record Violation(Rule rule, long at, String what) { }
 
     /** What broke, and what may have, but just then those who watched were late themselves: nobody can tell. */
-    record Verdict(List<Break> breaks, List<Break> unjudged) { }
+    record Verdict(List<Violation> violations, List<Violation> inconclusive) { }
 
     private static final long MS = 1_000_000, SECOND = 1000 * MS;
-    private static final long NOTICE_SLACK = 300 * MS, AFTER_READY = 1500 * MS, AFTER_CUT = 7 * SECOND, WAIT_SLACK = 100 * MS,
-            DRAIN_SLACK = 50 * MS, LIST_AFTER_READY = 1000 * MS, HELD_UP = 300 * MS, SEEN = 50 * MS, IN_DOUBT = SECOND;
+    private static final long NOTICE_SLACK = 300 * MS, RECOVERY_SLACK = 1500 * MS, RECONNECT_SLACK = 7 * SECOND, RETRY_AFTER_SLACK = 100 * MS,
+            DRAIN_SLACK = 50 * MS, FIRST_LIST_SLACK = 1000 * MS, LATE_ARRIVAL_SLACK = 300 * MS, RESPONSE_SLACK = 50 * MS, LATE_OBSERVER_MARGIN = SECOND;
     /** Fewer mails found untried in a day say nothing; nor does one with less time left. */
-    private static final int FOUND_LEAST = 10;
-    private static final long TIME_LEFT = SECOND;
+    private static final int MIN_UNTRIED_MAILS = 10;
+    private static final long MIN_TIME_LEFT = SECOND;
 
     /** A time during which a node can't be held to something. */
     private record Span(long from, long to) { }
 
-    private final List<Break> breaks = new ArrayList<>();
-    private final Map<String, List<Span>> excused = new HashMap<>();
-    private final Map<String, List<Long>> serves = new HashMap<>();
-    private final Map<String, List<Long>> deaths = new HashMap<>();
+    private final List<Violation> violations = new ArrayList<>();
+    private final Map<String, List<Span>> excusedSpans = new HashMap<>();
+    private final Map<String, List<Long>> readyTimes = new HashMap<>();
+    private final Map<String, List<Long>> deathTimes = new HashMap<>();
     private final Map<String, Fact.HandedIn> mails;
-    private final List<Span> receiverCuts = new ArrayList<>();
+    private final List<Span> receiverLinkFaults = new ArrayList<>();
     /** By node: when something was wrong with the process or with a link of it. */
-    private final Map<String, List<Span>> troubled = new HashMap<>();
-    private final Map<String, Long> stateLost = new HashMap<>();
-    private final Set<String> forgotten = new HashSet<>();
+    private final Map<String, List<Span>> nodeFaults = new HashMap<>();
+    private final Map<String, Long> stateLostAt = new HashMap<>();
+    private final Set<String> forgottenMails = new HashSet<>();
     private final Settings settings;
     private final List<Fact> facts;
     private final long end;
@@ -67,122 +67,122 @@
         this.facts = facts;
         this.settings = settings;
         this.end = end;
-        mails = handedIn();
+        mails = submissions();
     }
 
     /** All that broke, in the order of time; end: the instant up to which the world was played. */
-    static List<Break> judge(Scenario scenario, List<Fact> facts, Settings settings, long end) {
-        return verdict(scenario, facts, settings, end).breaks;
+    static List<Violation> judge(Scenario scenario, List<Fact> facts, Settings settings, long end) {
+        return verdict(scenario, facts, settings, end).violations;
     }
 
     /** The same, with what can't be told: rules with clocks in them, around the instants at which the watchers were late. */
     static Verdict verdict(Scenario scenario, List<Fact> facts, Settings settings, long end) {
         Rules rules = new Rules(facts, settings, end);
-        rules.excuses(scenario);
+        rules.collectExcuses(scenario);
         for (Rule rule : Rule.values()) {
-            rule.oracle.accept(rules);
+            rule.check.accept(rules);
         }
-        rules.breaks.sort((a, b) -> Long.compare(a.at, b.at));
+        rules.violations.sort((a, b) -> Long.compare(a.at, b.at));
         List<Span> late = facts.stream().filter(fact -> fact instanceof Fact.Late).map(fact -> new Span(
-                fact.at() - ((Fact.Late) fact).length() - IN_DOUBT, fact.at() + IN_DOUBT)).toList();
-        Map<Boolean, List<Break>> told = rules.breaks.stream().collect(Collectors.partitioningBy(one -> one.rule != Rule.ORDER
+                fact.at() - ((Fact.Late) fact).length() - LATE_OBSERVER_MARGIN, fact.at() + LATE_OBSERVER_MARGIN)).toList();
+        Map<Boolean, List<Violation>> told = rules.violations.stream().collect(Collectors.partitioningBy(one -> one.rule != Rule.ORDER
                 && one.rule != Rule.TWICE && one.rule != Rule.DIED && late.stream().anyMatch(span -> one.at >= span.from && one.at < span.to)));
         return new Verdict(told.get(false), told.get(true));
     }
 
-    private void pushedOver() {
+    private void checkOverload() {
         for (Fact fact : facts) {
             if (fact instanceof Fact.PushedOver over) {
-                broke(Rule.PUSHED_OVER, over.at(), over.receiver() + " was returning and got more than it bears");
+                addViolation(Rule.PUSHED_OVER, over.at(), over.receiver() + " was returning and got more than it bears");
             }
         }
     }
 
-    private void broke(Rule rule, long at, String what) {
-        breaks.add(new Break(rule, at, what));
+    private void addViolation(Rule rule, long at, String what) {
+        violations.add(new Violation(rule, at, what));
     }
 
-    private void excuses(Scenario scenario) {
+    private void collectExcuses(Scenario scenario) {
         // A process that dies before it serves (its disk is full) has not been back: what counts is the first death.
         Map<String, Long> gone = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Died died) {
-                deaths.computeIfAbsent(died.node(), n -> new ArrayList<>()).add(died.at());
+                deathTimes.computeIfAbsent(died.node(), n -> new ArrayList<>()).add(died.at());
                 gone.putIfAbsent(died.node(), died.at());
             } else if (fact instanceof Fact.Fault fault && (fault.of().kind() == Scenario.Kind.STOP
                     || fault.of().kind() == Scenario.Kind.IGNORES_TERM)) {
                 // Nothing is overdue from the signal on.
-                fault.of().which(scenario.nodes()).forEach(i -> gone.putIfAbsent("n" + i, fault.at()));
+                fault.of().targetIndexes(scenario.nodes()).forEach(i -> gone.putIfAbsent("n" + i, fault.at()));
             } else if (fact instanceof Fact.Serves ready) {
-                serves.computeIfAbsent(ready.node(), n -> new ArrayList<>()).add(ready.at());
+                readyTimes.computeIfAbsent(ready.node(), n -> new ArrayList<>()).add(ready.at());
                 Long since = gone.remove(ready.node());
-                excused.computeIfAbsent(ready.node(), n -> new ArrayList<>())
-                        .add(new Span(since == null ? ready.at() : since, ready.at() + AFTER_READY));
+                excusedSpans.computeIfAbsent(ready.node(), n -> new ArrayList<>())
+                        .add(new Span(since == null ? ready.at() : since, ready.at() + RECOVERY_SLACK));
             }
         }
         for (Fact fact : facts) {
             if (fact instanceof Fact.Fault fault) {
-                excuse(fault, scenario);
+                excuseFault(fault, scenario);
             } else if (fact instanceof Fact.StateLost lost) {
-                stateLost.put(lost.node(), lost.at());
+                stateLostAt.put(lost.node(), lost.at());
             }
         }
         // What a folder that is lost, or an earlier one, says nothing of is owed by nobody any more, or comes back.
         for (Fact fact : facts) {
-            if (fact instanceof Fact.HandedIn in && in.at() <= stateLost.getOrDefault(in.node(), -1L)) {
-                forgotten.add(in.id());
+            if (fact instanceof Fact.HandedIn in && in.at() <= stateLostAt.getOrDefault(in.node(), -1L)) {
+                forgottenMails.add(in.id());
             }
         }
     }
 
-    private void excuse(Fact.Fault fault, Scenario scenario) {
+    private void excuseFault(Fact.Fault fault, Scenario scenario) {
         Scenario.Fault of = fault.of();
-        Span during = new Span(fault.at(), fault.until() + AFTER_CUT);
+        Span during = new Span(fault.at(), fault.until() + RECONNECT_SLACK);
         switch (of.kind()) {
-            case FREEZE -> of.which(scenario.nodes()).forEach(i ->
-                    note(excused, "n" + i, new Span(fault.at(), fault.until() + AFTER_READY)));
-            case CUT_PLATFORM -> of.which(scenario.nodes()).forEach(i -> note(excused, "n" + i, during));
-            case FOLDER_FAILS -> of.which(scenario.nodes()).forEach(i ->
-                    note(excused, "n" + i, new Span(fault.at(), fault.until() + AFTER_READY)));
-            case TRANSFER_FAILS -> of.which(scenario.nodes()).forEach(i -> note(troubled, "n" + i, during));
+            case FREEZE -> of.targetIndexes(scenario.nodes()).forEach(i ->
+                    addSpan(excusedSpans, "n" + i, new Span(fault.at(), fault.until() + RECOVERY_SLACK)));
+            case CUT_PLATFORM -> of.targetIndexes(scenario.nodes()).forEach(i -> addSpan(excusedSpans, "n" + i, during));
+            case FOLDER_FAILS -> of.targetIndexes(scenario.nodes()).forEach(i ->
+                    addSpan(excusedSpans, "n" + i, new Span(fault.at(), fault.until() + RECOVERY_SLACK)));
+            case TRANSFER_FAILS -> of.targetIndexes(scenario.nodes()).forEach(i -> addSpan(nodeFaults, "n" + i, during));
             case CUT_RECEIVER -> {
-                receiverCuts.add(new Span(fault.at(), fault.until() + HELD_UP));
-                of.which(scenario.nodes()).forEach(i -> note(troubled, "n" + i, during));
+                receiverLinkFaults.add(new Span(fault.at(), fault.until() + LATE_ARRIVAL_SLACK));
+                of.targetIndexes(scenario.nodes()).forEach(i -> addSpan(nodeFaults, "n" + i, during));
             }
             default -> {
-                if (of.kind().of == Scenario.Of.LINK || of.kind().of == Scenario.Of.SETS || of.kind() == Scenario.Kind.MUTE
+                if (of.kind().targetType == Scenario.TargetType.LINK || of.kind().targetType == Scenario.TargetType.SETS || of.kind() == Scenario.Kind.MUTE
                         || of.kind() == Scenario.Kind.DEAF) {
-                    FaultText.ways(of, scenario.nodes(), scenario.destinations() * scenario.endpoints())
-                            .forEach(way -> onLink(way, fault, during));
+                    FaultText.directedLinks(of, scenario.nodes(), scenario.destinations() * scenario.endpoints())
+                            .forEach(way -> addLinkFault(way, fault, during));
                 }
             }
         }
     }
 
-    private void onLink(FaultText.OneWay way, Fact.Fault fault, Span during) {
+    private void addLinkFault(FaultText.DirectedLink way, Fact.Fault fault, Span during) {
         boolean fromNode = way.from().matches("n\\d+");
         String node = fromNode ? way.from() : way.to();
         String other = fromNode ? way.to() : way.from();
-        note(troubled, node, during);
+        addSpan(nodeFaults, node, during);
         if (other.startsWith("platform-")) {
-            note(excused, node, during);
+            addSpan(excusedSpans, node, during);
         } else if (other.matches("r\\d+")) {
             long more = fault.of().kind() == Scenario.Kind.DELAY ? (long) (MS * (fault.of().figure() + fault.of().more()))
                     : fault.of().kind() == Scenario.Kind.RATE ? 2 * SECOND : 0;
-            receiverCuts.add(new Span(fault.at(), fault.until() + HELD_UP + more));
+            receiverLinkFaults.add(new Span(fault.at(), fault.until() + LATE_ARRIVAL_SLACK + more));
         }
     }
 
-    private static void note(Map<String, List<Span>> spans, String of, Span span) {
+    private static void addSpan(Map<String, List<Span>> spans, String of, Span span) {
         spans.computeIfAbsent(of, n -> new ArrayList<>()).add(span);
     }
 
     /** The instant by which something due is really owed. */
-    private long owed(String node, long due) {
+    private long dueBy(String node, long due) {
         long by = due;
         for (boolean moved = true; moved;) {
             moved = false;
-            for (Span span : excused.getOrDefault(node, List.of())) {
+            for (Span span : excusedSpans.getOrDefault(node, List.of())) {
                 if (by >= span.from && by < span.to) {
                     by = span.to;
                     moved = true;
@@ -197,7 +197,7 @@
         return settings.classes().get(mail == null ? 0 : mail.queueClass());
     }
 
-    private Map<String, Fact.HandedIn> handedIn() {
+    private Map<String, Fact.HandedIn> submissions() {
         Map<String, Fact.HandedIn> all = new LinkedHashMap<>();
         facts.forEach(fact -> {
             if (fact instanceof Fact.HandedIn in) {
@@ -208,7 +208,7 @@
     }
 
     /** One final answer in time, none lost; what ran is not called harmless to hand in again. */
-    private void lost() {
+    private void checkEndings() {
         Map<String, Long> over = new HashMap<>();
         Map<String, String> status = new HashMap<>();
         Set<String> ran = new HashSet<>();
@@ -218,72 +218,72 @@
             if (fact instanceof Fact.Answered answered && answered.answer().equals("OK")) {
                 taken.put(answered.id(), answered);
             } else if (fact instanceof Fact.Answered answered && answered.answer().equals("BUSY") && ran.contains(answered.id())
-                    && queueClass(answered.id()).effect() != Settings.Effect.REDELIVERABLE && !forgotten.contains(answered.id())) {
-                broke(Rule.TWICE, fact.at(), answered.id() + " ran and was refused as harmless to hand in again");
+                    && queueClass(answered.id()).effect() != Settings.Effect.REDELIVERABLE && !forgottenMails.contains(answered.id())) {
+                addViolation(Rule.TWICE, fact.at(), answered.id() + " ran and was refused as harmless to hand in again");
             } else if (fact instanceof Fact.Answered answered && answered.answer().equals("BUSY")) {
                 refused.add(answered.id());
             } else if (fact instanceof Fact.Ran run) {
                 ran.add(run.id());
-                if (refused.contains(run.id()) && !forgotten.contains(run.id())) {
-                    broke(Rule.TWICE, run.at(), run.id() + " was refused as harmless to hand in again and ran all the same");
+                if (refused.contains(run.id()) && !forgottenMails.contains(run.id())) {
+                    addViolation(Rule.TWICE, run.at(), run.id() + " was refused as harmless to hand in again and ran all the same");
                 }
             } else if (fact instanceof Fact.Delivered delivered) {
                 over.putIfAbsent(delivered.id(), delivered.at());
             } else if (fact instanceof Fact.Noticed noticed) {
                 over.putIfAbsent(noticed.id(), noticed.at());
                 String before = status.put(noticed.id(), noticed.status());
-                if (before != null && !before.equals(noticed.status()) && !forgotten.contains(noticed.id())) {
-                    broke(Rule.LOST, noticed.at(), noticed.id() + " has two ends: " + before + ", " + noticed.status());
+                if (before != null && !before.equals(noticed.status()) && !forgottenMails.contains(noticed.id())) {
+                    addViolation(Rule.LOST, noticed.at(), noticed.id() + " has two ends: " + before + ", " + noticed.status());
                 }
                 if (noticed.status().equals("deferred") && ran.contains(noticed.id())
-                        && queueClass(noticed.id()).effect() == Settings.Effect.ONCE_ONLY && !forgotten.contains(noticed.id())) {
-                    broke(Rule.TWICE, noticed.at(), noticed.id() + " ran once only and was ended as harmless to hand in again");
+                        && queueClass(noticed.id()).effect() == Settings.Effect.ONCE_ONLY && !forgottenMails.contains(noticed.id())) {
+                    addViolation(Rule.TWICE, noticed.at(), noticed.id() + " ran once only and was ended as harmless to hand in again");
                 }
             }
         }
         taken.forEach((id, answered) -> {
             Fact.HandedIn mail = mails.get(id);
-            long due = owed(answered.node(), mail.until() + NOTICE_SLACK);
+            long due = dueBy(answered.node(), mail.until() + NOTICE_SLACK);
             long at = over.getOrDefault(id, Long.MAX_VALUE);
-            if (at > due && due < end && !forgotten.contains(id)) {
-                broke(Rule.LOST, due, id + " was taken on by " + answered.node() + " and "
+            if (at > due && due < end && !forgottenMails.contains(id)) {
+                addViolation(Rule.LOST, due, id + " was taken on by " + answered.node() + " and "
                         + (at == Long.MAX_VALUE ? "never ended" : "ended " + (at - due) / MS + " ms too late"));
             }
         });
     }
 
     /** No effect twice, and no second copy beside an open one. */
-    private void twice() {
+    private void checkDuplicates() {
         Map<String, Long> first = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Called call && call.second()) {
-                broke(Rule.TWICE, call.at(), call.id() + " came to " + call.receiver() + " while an earlier copy is open there");
+                addViolation(Rule.TWICE, call.at(), call.id() + " came to " + call.receiver() + " while an earlier copy is open there");
             } else if (fact instanceof Fact.Ran run) {
                 Settings.QueueClass kind = queueClass(run.id());
                 Long before = first.putIfAbsent(run.id(), run.at());
-                if (before == null || kind.effect() == Settings.Effect.REDELIVERABLE || forgotten.contains(run.id())) {
+                if (before == null || kind.effect() == Settings.Effect.REDELIVERABLE || forgottenMails.contains(run.id())) {
                     continue;
                 }
                 if (kind.effect() == Settings.Effect.ONCE_ONLY) {
-                    broke(Rule.TWICE, run.at(), run.id() + " may run once only and ran again");
-                } else if (!run.givenUp() && !heldUp(run.at()) && run.at() - before > 1000 * kind.deduplicationWindow()) {
-                    broke(Rule.TWICE, run.at(), run.id() + " ran again " + (run.at() - before) / MS + " ms later, outside its window");
+                    addViolation(Rule.TWICE, run.at(), run.id() + " may run once only and ran again");
+                } else if (!run.givenUp() && !mayBeHeldUp(run.at()) && run.at() - before > 1000 * kind.deduplicationWindow()) {
+                    addViolation(Rule.TWICE, run.at(), run.id() + " ran again " + (run.at() - before) / MS + " ms later, outside its window");
                 }
             }
         }
     }
 
     /** Whether a cut between nodes and receivers may have held up what came then. */
-    private boolean heldUp(long at) {
-        return receiverCuts.stream().anyMatch(cut -> at >= cut.from && at < cut.to);
+    private boolean mayBeHeldUp(long at) {
+        return receiverLinkFaults.stream().anyMatch(cut -> at >= cut.from && at < cut.to);
     }
 
-    private static long latest(List<Long> times, long before) {
+    private static long latestUpTo(List<Long> times, long before) {
         return times.stream().filter(t -> t <= before).reduce(Long.MIN_VALUE / 2, Math::max);
     }
 
     /** A drained endpoint gets no call that begins after the grace. */
-    private void drains() {
+    private void checkDrains() {
         Map<String, Long> drained = new HashMap<>();
         Map<String, Long> told = new HashMap<>();
         for (Fact fact : facts) {
@@ -292,10 +292,10 @@
                 told.putIfAbsent(drain.node() + drain.receiver(), drain.at());
             } else if (fact instanceof Fact.Begun call && drained.containsKey(call.receiver())) {
                 long since = told.getOrDefault(call.node() + call.receiver(), drained.get(call.receiver()));
-                since = Math.max(since, latest(serves.getOrDefault(call.node(), List.of()), call.at()) + LIST_AFTER_READY);
-                long until = owed(call.node(), since) + 1000 * settings.rules().drainGrace() + DRAIN_SLACK;
-                if (call.at() > until && !heldUp(call.at())) {
-                    broke(Rule.DRAIN, call.at(), call.node() + " began a call at " + call.receiver() + " "
+                since = Math.max(since, latestUpTo(readyTimes.getOrDefault(call.node(), List.of()), call.at()) + FIRST_LIST_SLACK);
+                long until = dueBy(call.node(), since) + 1000 * settings.rules().drainGrace() + DRAIN_SLACK;
+                if (call.at() > until && !mayBeHeldUp(call.at())) {
+                    addViolation(Rule.DRAIN, call.at(), call.node() + " began a call at " + call.receiver() + " "
                             + (call.at() - until) / MS + " ms after the grace");
                 }
             }
@@ -303,7 +303,7 @@
     }
 
     /** A message is not sent while an earlier one of its key, accepted by the same node before it was handed in, has not ended. */
-    private void sentInTurn() {
+    private void checkSendOrder() {
         Map<String, List<String>> unended = new HashMap<>();
         Map<String, List<String>> before = new HashMap<>();
         Set<String> ended = new HashSet<>();
@@ -313,37 +313,37 @@
                 before.put(in.id(), List.copyOf(unended.getOrDefault(in.node() + "/" + in.key(), List.of())));
             } else if (fact instanceof Fact.Answered answered && answered.answer().equals("OK") && !ended.contains(answered.id())) {
                 // One that was delivered before its client heard that it was accepted is not open any more.
-                unended.computeIfAbsent(placeOf(answered.id()), key -> new ArrayList<>()).add(answered.id());
+                unended.computeIfAbsent(orderScope(answered.id()), key -> new ArrayList<>()).add(answered.id());
             } else if (fact instanceof Fact.Delivered delivered && mails.containsKey(delivered.id()) && ended.add(delivered.id())) {
-                unended.getOrDefault(placeOf(delivered.id()), new ArrayList<>()).remove(delivered.id());
+                unended.getOrDefault(orderScope(delivered.id()), new ArrayList<>()).remove(delivered.id());
             } else if (fact instanceof Fact.Noticed noticed && mails.containsKey(noticed.id()) && ended.add(noticed.id())) {
-                unended.getOrDefault(placeOf(noticed.id()), new ArrayList<>()).remove(noticed.id());
+                unended.getOrDefault(orderScope(noticed.id()), new ArrayList<>()).remove(noticed.id());
             } else if (fact instanceof Fact.Called called && mails.containsKey(called.id())) {
-                List<String> open = unended.getOrDefault(placeOf(called.id()), List.of());
-                before.getOrDefault(called.id(), List.of()).stream().filter(id -> open.contains(id) && !forgotten.contains(id)
-                        && told.add(called.id() + " " + id)).forEach(id -> broke(Rule.ORDER, called.at(),
+                List<String> open = unended.getOrDefault(orderScope(called.id()), List.of());
+                before.getOrDefault(called.id(), List.of()).stream().filter(id -> open.contains(id) && !forgottenMails.contains(id)
+                        && told.add(called.id() + " " + id)).forEach(id -> addViolation(Rule.ORDER, called.at(),
                         called.id() + " was sent before " + id + " of its key " + mails.get(id).key() + " had ended"));
             }
         }
     }
 
-    private String placeOf(String id) {
+    private String orderScope(String id) {
         Fact.HandedIn mail = mails.get(id);
         return mail.node() + "/" + mail.key();
     }
 
     /** No process ends by itself: neither its machine's failing calls nor what it meets outside are a reason. */
-    private void died() {
+    private void checkDeaths() {
         for (Fact fact : facts) {
             if (fact instanceof Fact.Died died && died.byItself()) {
-                broke(Rule.DIED, died.at(), died.node() + " ended by itself");
+                addViolation(Rule.DIED, died.at(), died.node() + " ended by itself");
             }
         }
     }
 
     /** What a node took of one key runs in the order taken, and is sent in turn. */
-    private void order() {
-        sentInTurn();
+    private void checkOrder() {
+        checkSendOrder();
         Map<String, Integer> place = new HashMap<>();
         Map<String, Integer> latest = new TreeMap<>();
         int count = 0;
@@ -354,32 +354,32 @@
         }
         for (Fact fact : facts) {
             // A copy that the network held up and the node gave up may run at any time; no node can prevent that.
-            if (fact instanceof Fact.Ran run && place.containsKey(run.id()) && !run.givenUp() && !heldUp(run.at()) && !forgotten.contains(run.id())) {
+            if (fact instanceof Fact.Ran run && place.containsKey(run.id()) && !run.givenUp() && !mayBeHeldUp(run.at()) && !forgottenMails.contains(run.id())) {
                 Fact.HandedIn mail = mails.get(run.id());
                 int own = place.get(run.id());
                 int before = latest.merge(mail.node() + "/" + mail.key(), own, Math::max);
                 if (before > own) {
-                    broke(Rule.ORDER, run.at(), run.id() + " ran after a later mail of its key " + mail.key());
+                    addViolation(Rule.ORDER, run.at(), run.id() + " ran after a later mail of its key " + mail.key());
                 }
             }
         }
     }
 
     /** A told wait holds its destination until it is over or the node has restarted. */
-    private void waits() {
+    private void checkRetryAfter() {
         Map<String, Fact.ToldWait> waits = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.ToldWait wait) {
-                boolean heard = !heldUp(wait.at());
+                boolean heard = !mayBeHeldUp(wait.at());
                 Fact.ToldWait before = waits.get(wait.node() + "/" + wait.destination());
                 if (heard && (before == null || before.at() + before.length() < wait.at() + wait.length())) {
                     waits.put(wait.node() + "/" + wait.destination(), wait);
                 }
             } else if (fact instanceof Fact.Called call) {
                 Fact.ToldWait wait = waits.get(call.node() + "/" + call.destination());
-                if (wait != null && call.at() > wait.at() + WAIT_SLACK && call.at() < wait.at() + wait.length()
-                        && latest(deaths.getOrDefault(call.node(), List.of()), call.at()) < wait.at()) {
-                    broke(Rule.WAIT, call.at(), call.node() + " called destination " + call.destination() + " "
+                if (wait != null && call.at() > wait.at() + RETRY_AFTER_SLACK && call.at() < wait.at() + wait.length()
+                        && latestUpTo(deathTimes.getOrDefault(call.node(), List.of()), call.at()) < wait.at()) {
+                    addViolation(Rule.WAIT, call.at(), call.node() + " called destination " + call.destination() + " "
                             + (wait.at() + wait.length() - call.at()) / MS + " ms before its wait was over");
                 }
             }
@@ -390,19 +390,19 @@
      * What a receiver has answered with 200, on a connection that its node keeps open, is neither called undelivered nor sent
      * again. Not judged where the node died, the link had a trouble, or the node had closed by the time the answer was there.
      */
-    private void untrue() {
+    private void checkFinalStatus() {
         Map<String, Fact.Delivered> delivered = new HashMap<>();
         Set<String> closed = new HashSet<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Delivered one) {
                 delivered.putIfAbsent(one.id(), one);
             } else if (fact instanceof Fact.Closed one && delivered.containsKey(one.id())
-                    && one.at() - delivered.get(one.id()).at() < SEEN) {
+                    && one.at() - delivered.get(one.id()).at() < RESPONSE_SLACK) {
                 closed.add(one.id());
             } else if (fact instanceof Fact.Noticed noticed) {
-                contradicted(delivered.get(noticed.id()), closed, noticed.node(), noticed.at(), "was told as " + noticed.status());
+                checkContradiction(delivered.get(noticed.id()), closed, noticed.node(), noticed.at(), "was told as " + noticed.status());
             } else if (fact instanceof Fact.Called called) {
-                contradicted(delivered.get(called.id()), closed, called.node(), called.at(), "was sent again");
+                checkContradiction(delivered.get(called.id()), closed, called.node(), called.at(), "was sent again");
             }
         }
     }
@@ -411,9 +411,9 @@
      * What a process left taken on and never called is still called by the next: not over half of a day's ends with no call.
      * Not judged: mails with next to no time left, or whose receivers or links had a trouble, once the node was back.
      */
-    private void untried() {
-        List<Span> troubles = facts.stream().filter(fact -> fact instanceof Fact.Fault fault && (fault.of().kind().of == Scenario.Of.RECEIVER
-                || fault.of().kind().of == Scenario.Of.LINK || fault.of().kind().of == Scenario.Of.SETS
+    private void checkUntried() {
+        List<Span> troubles = facts.stream().filter(fact -> fact instanceof Fact.Fault fault && (fault.of().kind().targetType == Scenario.TargetType.RECEIVER
+                || fault.of().kind().targetType == Scenario.TargetType.LINK || fault.of().kind().targetType == Scenario.TargetType.SETS
                 || fault.of().kind() == Scenario.Kind.CUT_RECEIVER || fault.of().kind() == Scenario.Kind.MUTE
                 || fault.of().kind() == Scenario.Kind.DEAF)).map(fact -> new Span(fact.at(), ((Fact.Fault) fact).until())).toList();
         Map<String, String> open = new LinkedHashMap<>();
@@ -429,28 +429,28 @@
             } else if (fact instanceof Fact.Serves back) {
                 open.forEach((id, node) -> {
                     long until = mails.get(id).until();
-                    if (node.equals(back.node()) && until - back.at() > TIME_LEFT && !forgotten.contains(id)
+                    if (node.equals(back.node()) && until - back.at() > MIN_TIME_LEFT && !forgottenMails.contains(id)
                             && troubles.stream().noneMatch(span -> span.from < until && span.to > back.at())) {
                         found.add(id);
                     }
                 });
             }
         }
-        if (found.size() >= FOUND_LEAST && 2 * givenUp > found.size()) {
-            broke(Rule.UNTRIED, end, givenUp + " of " + found.size() + " mails that restarts found untried ended with no call");
+        if (found.size() >= MIN_UNTRIED_MAILS && 2 * givenUp > found.size()) {
+            addViolation(Rule.UNTRIED, end, givenUp + " of " + found.size() + " mails that restarts found untried ended with no call");
         }
     }
 
-    private void contradicted(Fact.Delivered answer, Set<String> closed, String node, long at, String what) {
-        if (answer == null || closed.contains(answer.id()) || forgotten.contains(answer.id()) || at - answer.at() < SEEN) {
+    private void checkContradiction(Fact.Delivered answer, Set<String> closed, String node, long at, String what) {
+        if (answer == null || closed.contains(answer.id()) || forgottenMails.contains(answer.id()) || at - answer.at() < RESPONSE_SLACK) {
             return;
         }
-        long life = latest(serves.getOrDefault(node, List.of()), answer.at());
-        boolean died = deaths.getOrDefault(node, List.of()).stream().anyMatch(death -> death >= life && death <= at);
-        boolean troubles = troubled.getOrDefault(node, List.of()).stream()
+        long life = latestUpTo(readyTimes.getOrDefault(node, List.of()), answer.at());
+        boolean died = deathTimes.getOrDefault(node, List.of()).stream().anyMatch(death -> death >= life && death <= at);
+        boolean troubles = nodeFaults.getOrDefault(node, List.of()).stream()
                 .anyMatch(span -> span.from < span.to && span.from <= at && span.to > answer.at());
         if (!died && !troubles) {
-            broke(Rule.UNTRUE, at, answer.id() + " " + what + " " + (at - answer.at()) / MS + " ms after " + answer.receiver()
+            addViolation(Rule.UNTRUE, at, answer.id() + " " + what + " " + (at - answer.at()) / MS + " ms after " + answer.receiver()
                     + " had answered 200");
         }
     }
--- a/lab/src/main/java/wrenreach/lab/Scenario.java
+++ b/lab/src/main/java/wrenreach/lab/Scenario.java
@@ -18,84 +18,84 @@
  * drawn from the seed. classes empty: one class, how often its mails may take effect following from the seed.
  */
 record Scenario(long seed, Map<Figure, Integer> figures, List<QueueClass> classes, List<Fault> faults) {
-    static final int MOST = 100_000_000;
+    static final int MAX_NUMBER = 100_000_000;
 
     /** The numbers of a day; ledger: 1 the journal, 2 the store; the rate in mails a second over all nodes, the length in ms. */
     enum Figure {
         NODES(1), DESTINATIONS(1), ENDPOINTS(1), ZONES(1), LEDGER(1), RATE(20), LENGTH(10_000);
 
-        final int byDefault;
+        final int defaultValue;
 
         Figure(int byDefault) {
-            this.byDefault = byDefault;
+            this.defaultValue = byDefault;
         }
 
         /** As it stands in a file. */
-        String word() {
+        String keyword() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     /** What a fault is of. */
-    enum Of { NODE, RECEIVER, LINK, SETS, NODES }
+    enum TargetType { NODE, RECEIVER, LINK, SETS, NODES }
 
     /** Where a fault can be played. */
-    enum Where { BOTH, MEMORY, PROCESSES }
+    enum Environment { BOTH, MEMORY, PROCESSES }
 
     /** What may go wrong. New ones are added at the end: drawn days go by the order. */
     enum Kind {
-        KILL(Of.NODE, Where.BOTH), KILL_WRITTEN(Of.NODE, Where.MEMORY), KILL_TORN(Of.NODE, Where.MEMORY),
-        VANISH_NODE(Of.NODE, Where.BOTH), STOP(Of.NODE, Where.BOTH), RELOAD(Of.NODE, Where.BOTH),
-        DISK_FULL(Of.NODE, Where.MEMORY), WRITE_FAILS(Of.NODE, Where.MEMORY), CUT_PLATFORM(Of.NODE, Where.BOTH),
-        CUT_RECEIVER(Of.NODE, Where.BOTH), CUT_CLIENTS(Of.NODE, Where.BOTH), DOWN(Of.RECEIVER, Where.BOTH),
-        VANISH(Of.RECEIVER, Where.BOTH), SILENT(Of.RECEIVER, Where.BOTH), SLOW(Of.RECEIVER, Where.BOTH),
-        FULL(Of.RECEIVER, Where.BOTH), ERRING(Of.RECEIVER, Where.BOTH), DRAIN(Of.RECEIVER, Where.BOTH),
+        KILL(TargetType.NODE, Environment.BOTH), KILL_WRITTEN(TargetType.NODE, Environment.MEMORY), KILL_TORN(TargetType.NODE, Environment.MEMORY),
+        VANISH_NODE(TargetType.NODE, Environment.BOTH), STOP(TargetType.NODE, Environment.BOTH), RELOAD(TargetType.NODE, Environment.BOTH),
+        DISK_FULL(TargetType.NODE, Environment.MEMORY), WRITE_FAILS(TargetType.NODE, Environment.MEMORY), CUT_PLATFORM(TargetType.NODE, Environment.BOTH),
+        CUT_RECEIVER(TargetType.NODE, Environment.BOTH), CUT_CLIENTS(TargetType.NODE, Environment.BOTH), DOWN(TargetType.RECEIVER, Environment.BOTH),
+        VANISH(TargetType.RECEIVER, Environment.BOTH), SILENT(TargetType.RECEIVER, Environment.BOTH), SLOW(TargetType.RECEIVER, Environment.BOTH),
+        FULL(TargetType.RECEIVER, Environment.BOTH), ERRING(TargetType.RECEIVER, Environment.BOTH), DRAIN(TargetType.RECEIVER, Environment.BOTH),
         /** The process stands still (SIGSTOP) and goes on (SIGCONT). */
-        FREEZE(Of.NODE, Where.BOTH),
+        FREEZE(TargetType.NODE, Environment.BOTH),
         /** A planned stop that the process does not hear; it is killed after the platform's patience. */
-        IGNORES_TERM(Of.NODE, Where.BOTH),
+        IGNORES_TERM(TargetType.NODE, Environment.BOTH),
         /** It is killed, and every start fails until the fault is over. */
-        BROKEN_START(Of.NODE, Where.BOTH),
+        BROKEN_START(TargetType.NODE, Environment.BOTH),
         /** It is killed at once, and the next process stands still for so long right after its start. */
-        SLOW_START(Of.NODE, Where.BOTH),
+        SLOW_START(TargetType.NODE, Environment.BOTH),
         /** It is killed; its state folder is lost, or as it was when the fault began, or can't be written until it is over. */
-        LOSE_STATE(Of.NODE, Where.BOTH), OLD_STATE(Of.NODE, Where.BOTH), READONLY_STATE(Of.NODE, Where.BOTH),
-        CUT(Of.LINK, Where.BOTH), REFUSE(Of.LINK, Where.BOTH),
+        LOSE_STATE(TargetType.NODE, Environment.BOTH), OLD_STATE(TargetType.NODE, Environment.BOTH), READONLY_STATE(TargetType.NODE, Environment.BOTH),
+        CUT(TargetType.LINK, Environment.BOTH), REFUSE(TargetType.LINK, Environment.BOTH),
         /** A share of the links is reset at once; figure: the share, all by default. */
-        RESET(Of.LINK, Where.BOTH),
-        DELAY(Of.LINK, Where.BOTH), RATE(Of.LINK, Where.BOTH), HALF(Of.LINK, Where.BOTH), LOSS(Of.LINK, Where.BOTH),
-        DOUBLING(Of.LINK, Where.BOTH), REORDERING(Of.LINK, Where.BOTH),
+        RESET(TargetType.LINK, Environment.BOTH),
+        DELAY(TargetType.LINK, Environment.BOTH), RATE(TargetType.LINK, Environment.BOTH), HALF(TargetType.LINK, Environment.BOTH), LOSS(TargetType.LINK, Environment.BOTH),
+        DOUBLING(TargetType.LINK, Environment.BOTH), REORDERING(TargetType.LINK, Environment.BOTH),
         /** The relay that carries the link dies with all its connections, and is there again after so long. */
-        RELAY_DIES(Of.LINK, Where.BOTH),
+        RELAY_DIES(TargetType.LINK, Environment.BOTH),
         /** Nothing passes between sets of parties: n0,n1|n2,platform. */
-        PARTITION(Of.SETS, Where.BOTH),
+        PARTITION(TargetType.SETS, Environment.BOTH),
         /** It hears all and is heard by none; or the other way about. */
-        MUTE(Of.NODE, Where.BOTH), DEAF(Of.NODE, Where.BOTH),
+        MUTE(TargetType.NODE, Environment.BOTH), DEAF(TargetType.NODE, Environment.BOTH),
         /** Nodes hear only those before and after them. */
-        RING(Of.NODES, Where.BOTH),
+        RING(TargetType.NODES, Environment.BOTH),
         /** Calls that the node's process makes to its machine fail; figure: the share, more: the errno, 0 for a drawn one. */
-        SOCKET_FAILS(Of.NODE, Where.PROCESSES), CONNECT_FAILS(Of.NODE, Where.PROCESSES), ACCEPT_FAILS(Of.NODE, Where.PROCESSES),
-        TRANSFER_FAILS(Of.NODE, Where.PROCESSES), SHORT_TRANSFERS(Of.NODE, Where.PROCESSES),
-        WAITS_INTERRUPTED(Of.NODE, Where.PROCESSES), FOLDER_FAILS(Of.NODE, Where.PROCESSES),
+        SOCKET_FAILS(TargetType.NODE, Environment.PROCESSES), CONNECT_FAILS(TargetType.NODE, Environment.PROCESSES), ACCEPT_FAILS(TargetType.NODE, Environment.PROCESSES),
+        TRANSFER_FAILS(TargetType.NODE, Environment.PROCESSES), SHORT_TRANSFERS(TargetType.NODE, Environment.PROCESSES),
+        WAITS_INTERRUPTED(TargetType.NODE, Environment.PROCESSES), FOLDER_FAILS(TargetType.NODE, Environment.PROCESSES),
         /** The wall clock of the node's machine is stepped, by so many seconds, and back again when the fault is over. */
-        WALL_AHEAD(Of.NODE, Where.PROCESSES), WALL_BEHIND(Of.NODE, Where.PROCESSES),
+        WALL_AHEAD(TargetType.NODE, Environment.PROCESSES), WALL_BEHIND(TargetType.NODE, Environment.PROCESSES),
         /** The process is killed in the middle of its next write to the state folder. */
-        KILL_IN_WRITE(Of.NODE, Where.PROCESSES);
+        KILL_IN_WRITE(TargetType.NODE, Environment.PROCESSES);
 
-        final Of of;
-        final Where where;
+        final TargetType targetType;
+        final Environment environment;
 
-        Kind(Of of, Where where) {
-            this.of = of;
-            this.where = where;
+        Kind(TargetType of, Environment where) {
+            this.targetType = of;
+            this.environment = where;
         }
 
-        String word() {
+        String keyword() {
             return name().toLowerCase(Locale.ROOT);
         }
 
         /** Which of the process's system calls it makes fail; null: none. */
-        SystemCallFaults.Call call() {
+        SystemCallFaults.Call failingCall() {
             return switch (this) {
                 case SOCKET_FAILS -> SystemCallFaults.Call.SOCKET;
                 case CONNECT_FAILS -> SystemCallFaults.Call.CONNECT;
@@ -130,7 +130,7 @@
         }
 
         /** Which of so many it strikes. */
-        List<Integer> which(int many) {
+        List<Integer> targetIndexes(int many) {
             int step = switch (target) {
                 case "all" -> 1;
                 case "half" -> 2;
@@ -144,7 +144,7 @@
         }
 
         String text() {
-            return "fault " + FaultText.write(this);
+            return "fault " + FaultText.format(this);
         }
     }
 
@@ -157,12 +157,12 @@
     }
 
     /** A scenario can't be read; the message names its line. */
-    static final class Unreadable extends Exception {
+    static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1;
         /** Counted from one. */
         final int line;
 
-        Unreadable(int line, String what) {
+        InvalidScenarioException(int line, String what) {
             super("line " + line + ": " + what);
             this.line = line;
         }
@@ -171,7 +171,7 @@
     Scenario {
         EnumMap<Figure, Integer> all = new EnumMap<>(Figure.class);
         for (Figure figure : Figure.values()) {
-            all.put(figure, figures.getOrDefault(figure, figure.byDefault));
+            all.put(figure, figures.getOrDefault(figure, figure.defaultValue));
         }
         figures = Collections.unmodifiableMap(all);
         classes = List.copyOf(classes);
@@ -195,7 +195,7 @@
     }
 
     /** Whether nodes keep what they owe in the store. */
-    boolean store() {
+    boolean usesStore() {
         return figures.get(Figure.LEDGER) == 2;
     }
 
@@ -208,13 +208,13 @@
     }
 
     /** The classes that the day is played with. */
-    List<QueueClass> playedClasses() {
+    List<QueueClass> effectiveClasses() {
         return classes.isEmpty() ? List.of(new QueueClass("order", Effect.values()[(int) Math.floorMod(seed + 1, 3L)], 1, 2000,
                 8000, 1)) : classes;
     }
 
     /** A small fleet with a few faults, drawn from the seed. */
-    static Scenario drawn(long seed) {
+    static Scenario generate(long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 31 + 7);
         int length = 6000 + random.nextInt(8000);
         Map<Figure, Integer> figures = new EnumMap<>(Figure.class);
@@ -233,23 +233,23 @@
             }
         }
         List<Fault> faults = new ArrayList<>();
-        List<Kind> kinds = Arrays.stream(Kind.values()).filter(kind -> kind.where != Where.PROCESSES).toList();
+        List<Kind> kinds = Arrays.stream(Kind.values()).filter(kind -> kind.environment != Environment.PROCESSES).toList();
         int count = random.nextInt(6);
         for (int i = 0; i < count; i++) {
             Kind kind = kinds.get(random.nextInt(kinds.size()));
             int at = 500 + random.nextInt(length - 2000);
-            faults.add(drawn(kind, random.nextInt(12), figures, at, 300 + random.nextInt(4000)));
+            faults.add(generate(kind, random.nextInt(12), figures, at, 300 + random.nextInt(4000)));
         }
         faults.sort(Comparator.comparingInt(Fault::atMs));
         return new Scenario(seed, figures, classes, faults);
     }
 
     /** A fault of this kind on whom the number says. */
-    private static Fault drawn(Kind kind, int number, Map<Figure, Integer> figures, int at, int length) {
+    private static Fault generate(Kind kind, int number, Map<Figure, Integer> figures, int at, int length) {
         String node = "n" + number % figures.get(Figure.NODES);
         String receiver = "r" + number % (figures.get(Figure.DESTINATIONS) * figures.get(Figure.ENDPOINTS));
         String other = List.of("platform", receiver, receiver, "clients").get(number % 4);
-        String target = switch (kind.of) {
+        String target = switch (kind.targetType) {
             case LINK -> number % 3 == 0 ? node + ">" + other : number % 3 == 1 ? other + ">" + node : node + "-" + other;
             case SETS -> node + "|" + other;
             default -> Integer.toString(number);
@@ -267,13 +267,13 @@
     List<String> objections(boolean real) {
         List<String> all = new ArrayList<>();
         for (Fault fault : faults) {
-            if (fault.kind.where == (real ? Where.MEMORY : Where.PROCESSES)) {
-                all.add("fault " + fault.kind.word() + " is played " + (real ? "in virtual time" : "by processes") + " only");
+            if (fault.kind.environment == (real ? Environment.MEMORY : Environment.PROCESSES)) {
+                all.add("fault " + fault.kind.keyword() + " is played " + (real ? "in virtual time" : "by processes") + " only");
             }
             for (String party : FaultText.parties(fault)) {
                 int number = party.matches("[nr]\\d+") ? Integer.parseInt(party.substring(1)) : -1;
                 if (number >= (party.startsWith("n") ? nodes() : destinations() * endpoints())) {
-                    all.add("fault " + fault.kind.word() + ": there is no " + party);
+                    all.add("fault " + fault.kind.keyword() + ": there is no " + party);
                 }
             }
         }
@@ -297,20 +297,20 @@
     /** The scenario as text that {@link #parse} reads. */
     String text() {
         StringBuilder text = new StringBuilder("seed " + seed + System.lineSeparator());
-        figures.forEach((figure, value) -> text.append(figure.word()).append(' ').append(value).append(System.lineSeparator()));
+        figures.forEach((figure, value) -> text.append(figure.keyword()).append(' ').append(value).append(System.lineSeparator()));
         classes.forEach(one -> text.append(one.text()).append(System.lineSeparator()));
         faults.forEach(fault -> text.append(fault.text()).append(System.lineSeparator()));
         return text.toString();
     }
 
-    static Scenario parse(List<String> lines) throws Unreadable {
+    static Scenario parse(List<String> lines) throws InvalidScenarioException {
         long seed = 1;
         Map<Figure, Integer> figures = new EnumMap<>(Figure.class);
-        List<String> names = Arrays.stream(Figure.values()).map(Figure::word).toList();
+        List<String> names = Arrays.stream(Figure.values()).map(Figure::keyword).toList();
         List<QueueClass> classes = new ArrayList<>();
         List<Fault> faults = new ArrayList<>();
         int until = lines.stream().filter(line -> line.matches("\\s*length\\s+\\d{1,9}\\b.*"))
-                .map(line -> Integer.parseInt(line.strip().split("\\s+")[1])).findFirst().orElse(Figure.LENGTH.byDefault);
+                .map(line -> Integer.parseInt(line.strip().split("\\s+")[1])).findFirst().orElse(Figure.LENGTH.defaultValue);
         int number = 0;
         for (String line : lines) {
             number++;
@@ -322,16 +322,16 @@
                 } else if (words[0].equals("seed") && words.length == 2) {
                     seed = Long.parseLong(words[1]);
                 } else if (names.contains(words[0]) && words.length == 2) {
-                    figures.put(Figure.values()[names.indexOf(words[0])], positive(words[1]));
+                    figures.put(Figure.values()[names.indexOf(words[0])], parsePositive(words[1]));
                 } else if (words[0].equals("class")) {
-                    classes.add(queueClass(text.substring(5).strip()));
+                    classes.add(parseQueueClass(text.substring(5).strip()));
                 } else if (words[0].equals("fault")) {
-                    faults.addAll(FaultText.read(text.substring(5).strip(), until));
+                    faults.addAll(FaultText.parse(text.substring(5).strip(), until));
                 } else {
                     throw new IllegalArgumentException("not understood: " + text);
                 }
             } catch (IllegalArgumentException e) {
-                throw new Unreadable(number, e.getMessage());
+                throw new InvalidScenarioException(number, e.getMessage());
             }
         }
         faults.sort(Comparator.comparingInt(Fault::atMs));
@@ -339,7 +339,7 @@
     }
 
     /** A class as NAME EFFECT importance X target MS lifetime MS share N. */
-    static QueueClass queueClass(String text) {
+    static QueueClass parseQueueClass(String text) {
         String[] words = text.split("\\s+");
         if (words.length != 10 || !words[2].equals("importance") || !words[4].equals("target") || !words[6].equals("lifetime")
                 || !words[8].equals("share") || !words[0].matches("[A-Za-z0-9_]{1,40}")) {
@@ -347,23 +347,23 @@
                     "is no class of the form NAME EFFECT importance X target MS lifetime MS share N: " + text);
         }
         double importance = Double.parseDouble(words[3]);
-        QueueClass read = new QueueClass(words[0], named(Effect.values(), words[1]), importance, positive(words[5]),
-                positive(words[7]), positive(words[9]));
+        QueueClass read = new QueueClass(words[0], parseEnum(Effect.values(), words[1]), importance, parsePositive(words[5]),
+                parsePositive(words[7]), parsePositive(words[9]));
         if (!(importance > 0) || read.targetMs > read.lifetimeMs) {
             throw new IllegalArgumentException("its importance is above 0 and its target no longer than its lifetime: " + text);
         }
         return read;
     }
 
-    static <E extends Enum<E>> E named(E[] all, String word) {
+    static <E extends Enum<E>> E parseEnum(E[] all, String word) {
         return Arrays.stream(all).filter(one -> one.name().equalsIgnoreCase(word)).findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(word + " is not known: there are "
                         + String.join(", ", Arrays.stream(all).map(one -> one.name().toLowerCase(Locale.ROOT)).toList())));
     }
 
-    static int positive(String word) {
+    static int parsePositive(String word) {
         int value = word.matches("\\d{1,9}") ? Integer.parseInt(word) : 0;
-        if (value <= 0 || value > MOST) {
+        if (value <= 0 || value > MAX_NUMBER) {
             throw new IllegalArgumentException(word + " is not between 1 and 100000000");
         }
         return value;
