--- a/lab/src/main/java/wrenreach/lab/Play.java
+++ b/lab/src/main/java/wrenreach/lab/ScenarioRun.java
@@ -21,174 +21,174 @@
 import wrenreach.relay.Impairment;
 
 /** Plays one scenario: builds its world, lets its faults happen and hands back what happened. */
-final class Play {
-    static final long MS = 1_000_000;
+final class ScenarioRun {
+    static final long NS_PER_MS = 1_000_000;
     /** Figures of the settings that all scenarios share, in seconds. */
-    static final double WINDOW = 5, GRACE = 0.5, COLD_FROM = 0.3, COLD = 12, OVERLOAD = 1.5, TIP_AFTER = 2, LATE_SHARE = 0.5;
+    static final double DEDUPLICATION_WINDOW_S = 5, DRAIN_GRACE_S = 0.5, COLD_START_SHARE = 0.3, WARM_UP_S = 12, OVERLOAD_FACTOR = 1.5, OVERLOAD_WINDOW_S = 2, LATE_SHARE = 0.5;
     private static final String[] EFFECTS = {"pure", "token", "side_effect"};
     /** After the last mail's time the restart of its node may still pass. */
-    private static final long AFTER = 6_000 * MS;
-    static final int PLATFORM = 8500, RECEIVER = 8080, DOOR = 6379;
+    private static final long SETTLE_TIME_NS = 6_000 * NS_PER_MS;
+    static final int PLATFORM_PORT = 8500, RECEIVER_PORT = 8080, LISTENER_PORT = 6379;
     /** Between two looks whether what a fault waits for has come. */
-    private static final long LOOK = 5 * MS;
+    private static final long TRIGGER_POLL_INTERVAL_NS = 5 * NS_PER_MS;
 
     final Scenario scenario;
     final World world;
     final Settings settings;
     private final List<Receiver> receivers = new ArrayList<>();
     private final List<Platform> platforms = new ArrayList<>();
-    private int version = 1;
-    private int replaced;
+    private int listVersion = 1;
+    private int replacements;
     /** The list as text as each node reads it, and of which version. */
-    private final Map<Integer, String> lists = new HashMap<>();
-    private int listed;
-    private final Places places;
+    private final Map<Integer, String> listTexts = new HashMap<>();
+    private int cachedListVersion;
+    private final AddressPlan addresses;
     /** Of which kind of thing, and of whom, how much has been seen. */
-    private final Map<String, Integer> seen = new HashMap<>();
-    private int seenFacts;
+    private final Map<String, Integer> observedCounts = new HashMap<>();
+    private int observedFacts;
 
     /** Where the parties are: in memory each by its own address, by processes behind relays. */
-    interface Places {
+    interface AddressPlan {
         /** An address of the net of parties of one kind. */
-        InetSocketAddress place(int net, int number, int port);
+        InetSocketAddress addressOf(int net, int number, int port);
 
         /** Where a node finds its platform, and one of its receivers. */
-        default InetSocketAddress platform(int node) {
-            return place(9, node, PLATFORM);
+        default InetSocketAddress platformAddress(int node) {
+            return addressOf(9, node, PLATFORM_PORT);
         }
 
-        default InetSocketAddress receiver(int node, Receiver receiver) {
+        default InetSocketAddress receiverAddress(int node, Receiver receiver) {
             return receiver.address;
         }
 
         /** There is one more receiver. */
-        default void added(Receiver receiver) { }
+        default void receiverAdded(Receiver receiver) { }
     }
 
     /** In memory: thousands of each, at addresses that mean nothing outside. */
-    static final Places EMULATED = (net, number, port) ->
+    static final AddressPlan EMULATED = (net, number, port) ->
             new InetSocketAddress("127." + net + "." + number / 200 + "." + (number % 200 + 1), port);
 
     /** Makes a node of the fleet. */
-    interface NodeMaker {
-        FleetNode node(String name, Config config, String json, int zone);
+    interface NodeFactory {
+        FleetNode create(String name, Config config, String json, int zone);
     }
 
     /** Builds what a scenario needs in its world and starts its nodes; nothing comes before {@link #begin}. */
-    Play(Scenario scenario, World world, Places places, NodeMaker maker) {
+    ScenarioRun(Scenario scenario, World world, AddressPlan places, NodeFactory maker) {
         this.scenario = scenario;
         this.world = world;
-        this.places = places;
+        this.addresses = places;
         for (int i = 0; i < scenario.destinations() * scenario.endpoints(); i++) {
-            add(i, i % scenario.destinations());
+            addReceiver(i, i % scenario.destinations());
         }
         Config config = null;
         for (int i = 0; i < scenario.nodes(); i++) {
             int node = i;
             config = config(i);
-            world.nodes.add(maker.node("n" + i, config, json(i), i % scenario.zones()));
-            platforms.add(new Platform(world, "n" + i, places.place(9, i, PLATFORM), () -> list(node)));
+            world.nodes.add(maker.create("n" + i, config, json(i), i % scenario.zones()));
+            platforms.add(new Platform(world, "n" + i, places.addressOf(9, i, PLATFORM_PORT), () -> listText(node)));
         }
         settings = config.settings();
         world.nodes.forEach(FleetNode::start);
     }
 
     /** Plays a scenario with this module in its nodes, to its end. */
-    static Play of(Scenario scenario, Function<Settings, Dispatcher> module) {
+    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> module) {
         return of(scenario, module, world -> { });
     }
 
     /** The same, with something done to its world before it begins. */
-    static Play of(Scenario scenario, Function<Settings, Dispatcher> module, Consumer<World> before) {
+    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> module, Consumer<World> before) {
         return of(scenario, module, Experiment.Setup.NONE, before);
     }
 
     /** The same with what the operator's files switch on. */
-    static Play of(Scenario scenario, Function<Settings, Dispatcher> module, Experiment.Setup setup, Consumer<World> before) {
+    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> module, Experiment.Setup setup, Consumer<World> before) {
         World world = new World(scenario.seed());
-        Play play = new Play(scenario, world, EMULATED, (name, config, json, zone) ->
-                new LabNode(world, name, config, json, zone, scenario.store(), module, setup.inMemory(name)));
+        ScenarioRun play = new ScenarioRun(scenario, world, EMULATED, (name, config, json, zone) ->
+                new InMemoryNode(world, name, config, json, zone, scenario.usesStore(), module, setup.inMemoryOperatorFile(name)));
         before.accept(world);
-        world.play(play.begin());
+        world.runUntil(play.begin());
         return play;
     }
 
     /** Lets mails come and faults happen from now on; the instant at which all is over. */
     long begin() {
         long begin = world.now();
-        long length = scenario.lengthMs() * MS;
-        Clients clients = new Clients(world, scenario.destinations(), scenario.playedClasses());
-        world.later(500 * MS, () -> clients.come(scenario.rate(), begin + length));
+        long length = scenario.lengthMs() * NS_PER_MS;
+        Clients clients = new Clients(world, scenario.destinations(), scenario.effectiveClasses());
+        world.scheduleIn(500 * NS_PER_MS, () -> clients.submitMails(scenario.rate(), begin + length));
         List<Scenario.Fault> waiting = new ArrayList<>();
         for (Scenario.Fault fault : scenario.faults()) {
             if (fault.once() == null) {
-                world.at(begin + fault.atMs() * MS, () -> begin(fault));
+                world.scheduleAt(begin + fault.atMs() * NS_PER_MS, () -> begin(fault));
             } else {
                 waiting.add(fault);
             }
         }
         if (!waiting.isEmpty()) {
-            look(waiting, begin + length);
+            startTriggeredFaults(waiting, begin + length);
         }
-        int lifetime = scenario.playedClasses().stream().mapToInt(Scenario.QueueClass::lifetimeMs).max().orElseThrow();
-        return begin + length + lifetime * MS + AFTER;
+        int lifetime = scenario.effectiveClasses().stream().mapToInt(Scenario.QueueClass::lifetimeMs).max().orElseThrow();
+        return begin + length + lifetime * NS_PER_MS + SETTLE_TIME_NS;
     }
 
     /** Begins those faults that wait for something which has been seen by now; at the day's end they wait no longer. */
-    private void look(List<Scenario.Fault> waiting, long until) {
-        for (; seenFacts < world.facts.size(); seenFacts++) {
-            Fact fact = world.facts.get(seenFacts);
+    private void startTriggeredFaults(List<Scenario.Fault> waiting, long until) {
+        for (; observedFacts < world.facts.size(); observedFacts++) {
+            Fact fact = world.facts.get(observedFacts);
             if (fact instanceof Fact.Answered answered && answered.answer().equals("OK")) {
-                count(Scenario.Once.Seen.TAKEN, answered.node());
+                countObserved(Scenario.Once.Seen.TAKEN, answered.node());
             } else if (fact instanceof Fact.Delivered delivered) {
-                count(Scenario.Once.Seen.DELIVERED, delivered.receiver());
+                countObserved(Scenario.Once.Seen.DELIVERED, delivered.receiver());
             } else if (fact instanceof Fact.Called called) {
-                count(Scenario.Once.Seen.CALLED, called.receiver());
+                countObserved(Scenario.Once.Seen.CALLED, called.receiver());
             } else if (fact instanceof Fact.Noticed noticed) {
-                count(Scenario.Once.Seen.NOTICED, noticed.node());
+                countObserved(Scenario.Once.Seen.NOTICED, noticed.node());
             } else if (fact instanceof Fact.Died died) {
-                count(Scenario.Once.Seen.DIED, died.node());
+                countObserved(Scenario.Once.Seen.DIED, died.node());
             } else if (fact instanceof Fact.Serves serves) {
-                count(Scenario.Once.Seen.SERVES, serves.node());
+                countObserved(Scenario.Once.Seen.SERVES, serves.node());
             }
         }
-        List<Scenario.Fault> come = waiting.stream().filter(fault -> seen.getOrDefault(fault.once().seen() + " "
+        List<Scenario.Fault> come = waiting.stream().filter(fault -> observedCounts.getOrDefault(fault.once().seen() + " "
                 + fault.once().party(), 0) >= fault.once().count()).toList();
         waiting.removeAll(come);
         come.forEach(this::begin);
         if (world.now() >= until) {
             waiting.forEach(fault -> world.record(new Fact.NeverCame(world.now(), fault.text())));
         } else if (!waiting.isEmpty()) {
-            world.later(LOOK, () -> look(waiting, until));
+            world.scheduleIn(TRIGGER_POLL_INTERVAL_NS, () -> startTriggeredFaults(waiting, until));
         }
     }
 
-    private void count(Scenario.Once.Seen what, String party) {
+    private void countObserved(Scenario.Once.Seen what, String party) {
         String set = party.startsWith("n") ? "nodes" : "receivers";
-        seen.merge(what + " " + party, 1, Integer::sum);
-        seen.merge(what + " " + set, 1, Integer::sum);
+        observedCounts.merge(what + " " + party, 1, Integer::sum);
+        observedCounts.merge(what + " " + set, 1, Integer::sum);
     }
 
-    private void add(int number, int destination) {
-        Receiver receiver = new Receiver(world, "r" + number, places.place(8, number, RECEIVER),
-                destination, number / scenario.destinations() % scenario.zones(), COLD_FROM, COLD, OVERLOAD, TIP_AFTER);
+    private void addReceiver(int number, int destination) {
+        Receiver receiver = new Receiver(world, "r" + number, addresses.addressOf(8, number, RECEIVER_PORT),
+                destination, number / scenario.destinations() % scenario.zones(), COLD_START_SHARE, WARM_UP_S, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S);
         receivers.add(receiver);
-        places.added(receiver);
+        addresses.receiverAdded(receiver);
     }
 
     /** In memory all nodes read the same text. */
-    private String list(int node) {
-        if (listed != version) {
-            listed = version;
-            lists.clear();
+    private String listText(int node) {
+        if (cachedListVersion != listVersion) {
+            cachedListVersion = listVersion;
+            listTexts.clear();
         }
-        return lists.computeIfAbsent(places == EMULATED ? 0 : node, this::written);
+        return listTexts.computeIfAbsent(addresses == EMULATED ? 0 : node, this::renderList);
     }
 
-    private String written(int node) {
-        return "{\"index\":" + version + ",\"snapshot\":true,\"endpoints\":[" + receivers.stream().map(r -> String.format(
+    private String renderList(int node) {
+        return "{\"index\":" + listVersion + ",\"snapshot\":true,\"endpoints\":[" + receivers.stream().map(r -> String.format(
                 Locale.ROOT, "{\"name\":\"%s\",\"address\":\"%s:%d\",\"zone\":\"z%d\",\"type\":\"small\",\"group\":%d,"
-                + "\"status\":\"%s\",\"weight\":100}", r.name, places.receiver(node, r).getHostString(), RECEIVER, r.party.zone, r.destination,
+                + "\"status\":\"%s\",\"weight\":100}", r.name, addresses.receiverAddress(node, r).getHostString(), RECEIVER_PORT, r.party.zone, r.destination,
                 r.draining ? "DRAINING" : "SERVING")).collect(Collectors.joining(",")) + "]}";
     }
 
@@ -201,7 +201,7 @@
     }
 
     private String json(int number) {
-        InetSocketAddress agent = places.platform(number);
+        InetSocketAddress agent = addresses.platformAddress(number);
         return String.format(Locale.ROOT, """
                 {"name":"n%d","listen":"%s:6379","discovery":"%s:%d","seed":"%x",
                  "limits":{"cores":1,"memory_mb":192,"sockets":512,"disk_mb":2},"known":%s,
@@ -215,26 +215,26 @@
                  "RetryAfter":true,"MaxRetryAfter":3,"ConnIdle":6,"ConnectTimeout":1},
                  "Rules":{"AnswerSlack":0.02,"DrainGrace":%.1f,"ColdFrom":%.2f,"Cold":%.1f,"OverloadFactor":%.1f,
                  "TipAfter":%.1f,"OrderSettle":0.1}}}
-                """, number, places.place(7, number, DOOR).getHostString(), agent.getHostString(), agent.getPort(),
-                scenario.seed() * 64 + number & Long.MAX_VALUE, list(number), number,
+                """, number, addresses.addressOf(7, number, LISTENER_PORT).getHostString(), agent.getHostString(), agent.getPort(),
+                scenario.seed() * 64 + number & Long.MAX_VALUE, listText(number), number,
                 scenario.nodes(), number % scenario.zones(), IntStream.range(0, scenario.zones()).mapToObj(z -> "\"z" + z + "\"")
-                .collect(Collectors.joining(",")), classes(), GRACE, COLD_FROM, COLD,
-                OVERLOAD, TIP_AFTER);
+                .collect(Collectors.joining(",")), classes(), DRAIN_GRACE_S, COLD_START_SHARE, WARM_UP_S,
+                OVERLOAD_FACTOR, OVERLOAD_WINDOW_S);
     }
 
     private String classes() {
-        return scenario.playedClasses().stream().map(one -> String.format(Locale.ROOT, "{\"Name\":\"%s\",\"Promise\":%.3f,"
+        return scenario.effectiveClasses().stream().map(one -> String.format(Locale.ROOT, "{\"Name\":\"%s\",\"Promise\":%.3f,"
                 + "\"Deadline\":%.3f,\"Value\":%s,\"LateShare\":%s,\"Effect\":\"%s\",\"KeyScope\":\"all\",\"Window\":%.1f,"
                 + "\"InTurn\":true,\"Stream\":false}", one.name(), one.targetMs() / 1000.0, one.lifetimeMs() / 1000.0,
-                one.importance(), LATE_SHARE, EFFECTS[one.effect().ordinal()], WINDOW)).collect(Collectors.joining(","));
+                one.importance(), LATE_SHARE, EFFECTS[one.effect().ordinal()], DEDUPLICATION_WINDOW_S)).collect(Collectors.joining(","));
     }
 
     private void begin(Scenario.Fault fault) {
-        long length = fault.forMs() * MS;
+        long length = fault.forMs() * NS_PER_MS;
         world.record(new Fact.Fault(world.now(), fault.text(), world.now() + length, fault));
-        switch (fault.kind().of) {
-            case NODE -> fault.which(world.nodes.size()).forEach(i -> begin(fault, world.nodes.get(i), length));
-            case RECEIVER -> fault.which(receivers.size()).forEach(i -> begin(fault, receivers.get(i), length));
+        switch (fault.kind().targetType) {
+            case NODE -> fault.targetIndexes(world.nodes.size()).forEach(i -> begin(fault, world.nodes.get(i), length));
+            case RECEIVER -> fault.targetIndexes(receivers.size()).forEach(i -> begin(fault, receivers.get(i), length));
             default -> beginOnLinks(fault, length);
         }
     }
@@ -243,20 +243,20 @@
         switch (fault.kind()) {
             case DOWN -> {
                 if (receiver.party.up) {
-                    receiver.up(false);
-                    world.later(length, () -> receiver.up(true));
+                    receiver.setUp(false);
+                    world.scheduleIn(length, () -> receiver.setUp(true));
                 }
             }
             case VANISH -> {
                 if (receiver.party.up) {
                     receiver.vanish();
-                    world.later(length, () -> receiver.up(true));
+                    world.scheduleIn(length, () -> receiver.setUp(true));
                 }
             }
             case DRAIN -> drain(receiver);
             default -> {
                 receiver.failing = fault.kind();
-                world.later(length, () -> receiver.failing = null);
+                world.scheduleIn(length, () -> receiver.failing = null);
             }
         }
     }
@@ -266,62 +266,62 @@
         switch (fault.kind()) {
             case KILL -> {
                 node.kill();
-                world.later(length, restart);
+                world.scheduleIn(length, restart);
             }
-            case KILL_WRITTEN -> lab(node).killAtWrite(1, LabNode.Moment.WRITTEN, () -> world.later(length, restart));
-            case KILL_TORN -> lab(node).killAtWrite(1, LabNode.Moment.TORN, () -> world.later(length, restart));
+            case KILL_WRITTEN -> inMemory(node).killAtWrite(1, InMemoryNode.KillMoment.WRITTEN, () -> world.scheduleIn(length, restart));
+            case KILL_TORN -> inMemory(node).killAtWrite(1, InMemoryNode.KillMoment.TORN, () -> world.scheduleIn(length, restart));
             case VANISH_NODE -> {
                 node.vanish();
-                world.later(length, restart);
+                world.scheduleIn(length, restart);
             }
             case STOP -> node.stop(length);
             case RELOAD -> {
-                node.reload(PLATFORM + 1);
-                world.later(length, () -> node.reload(PLATFORM));
+                node.reload(PLATFORM_PORT + 1);
+                world.scheduleIn(length, () -> node.reload(PLATFORM_PORT));
             }
-            case WRITE_FAILS -> lab(node).failWrite();
+            case WRITE_FAILS -> inMemory(node).failWrite();
             case DISK_FULL -> {
-                lab(node).fillDisk(true);
-                world.later(length, () -> lab(node).fillDisk(false));
+                inMemory(node).fillDisk(true);
+                world.scheduleIn(length, () -> inMemory(node).fillDisk(false));
             }
             case FREEZE -> {
                 node.freeze(true);
-                world.later(length, () -> node.freeze(false));
+                world.scheduleIn(length, () -> node.freeze(false));
             }
             case IGNORES_TERM -> {
-                node.deafToTerm(true);
+                node.setIgnoresTerm(true);
                 node.stop(length);
-                world.later(FleetNode.STOP_PATIENCE + length, () -> node.deafToTerm(false));
+                world.scheduleIn(FleetNode.STOP_TIMEOUT_NS + length, () -> node.setIgnoresTerm(false));
             }
             case BROKEN_START -> {
-                node.brokenStart(true);
+                node.setFailsToStart(true);
                 node.kill();
                 restart.run();
-                world.later(length, () -> {
-                    node.brokenStart(false);
+                world.scheduleIn(length, () -> {
+                    node.setFailsToStart(false);
                     restart.run();
                 });
             }
             case SLOW_START -> {
                 node.kill();
-                node.slowStart(length);
+                node.freezeAtNextStart(length);
                 restart.run();
             }
             case OLD_STATE -> {
-                node.state(FleetNode.State.KEPT_ASIDE);
-                world.later(length, () -> changeState(node, FleetNode.State.PUT_BACK, restart));
+                node.changeStateFolder(FleetNode.State.KEPT_ASIDE);
+                world.scheduleIn(length, () -> changeState(node, FleetNode.State.PUT_BACK, restart));
             }
             case LOSE_STATE -> {
                 changeState(node, FleetNode.State.LOST, () -> { });
-                world.later(length, restart);
+                world.scheduleIn(length, restart);
             }
             case READONLY_STATE -> {
                 node.kill();
-                node.state(FleetNode.State.READ_ONLY);
+                node.changeStateFolder(FleetNode.State.READ_ONLY);
                 restart.run();
-                world.later(length, () -> {
+                world.scheduleIn(length, () -> {
                     node.kill();
-                    node.state(FleetNode.State.WRITABLE);
+                    node.changeStateFolder(FleetNode.State.WRITABLE);
                     restart.run();
                 });
             }
@@ -329,22 +329,22 @@
                 String other = fault.kind() == Scenario.Kind.CUT_PLATFORM ? "platform-" + node.name
                         : fault.kind() == Scenario.Kind.CUT_CLIENTS ? "clients"
                         : receivers.get(Math.floorMod(Integer.parseInt(fault.target()), receivers.size())).name;
-                trouble(List.of(new FaultText.OneWay(node.name, other), new FaultText.OneWay(other, node.name)),
+                impair(List.of(new FaultText.DirectedLink(node.name, other), new FaultText.DirectedLink(other, node.name)),
                         new Impairment(Impairment.Kind.CUT, 0, 0), length);
             }
             case KILL_IN_WRITE -> node.killInWrite(length);
             case WALL_AHEAD, WALL_BEHIND -> {
                 long step = (long) ((fault.kind() == Scenario.Kind.WALL_AHEAD ? 1e9 : -1e9) * fault.figure());
-                node.stepWall(step);
-                world.later(length, () -> node.stepWall(-step));
+                node.stepWallClock(step);
+                world.scheduleIn(length, () -> node.stepWallClock(-step));
             }
             default -> {
-                SystemCallFaults.Call call = fault.kind().call();
+                SystemCallFaults.Call call = fault.kind().failingCall();
                 if (call == null) {
                     beginOnLinks(fault, length);
                 } else {
                     node.failCalls(call, fault.figure(), (int) fault.more());
-                    world.later(length, () -> node.failCalls(call, 0, SystemCallFaults.DRAWN));
+                    world.scheduleIn(length, () -> node.failCalls(call, 0, SystemCallFaults.RANDOM_ERROR));
                 }
             }
         }
@@ -352,47 +352,47 @@
 
     private void changeState(FleetNode node, FleetNode.State what, Runnable then) {
         node.kill();
-        node.state(what);
+        node.changeStateFolder(what);
         world.record(new Fact.StateLost(world.now(), node.name));
         then.run();
     }
 
     private void beginOnLinks(Scenario.Fault fault, long length) {
-        List<FaultText.OneWay> ways = FaultText.ways(fault, world.nodes.size(), receivers.size());
+        List<FaultText.DirectedLink> ways = FaultText.directedLinks(fault, world.nodes.size(), receivers.size());
         switch (fault.kind()) {
-            case RESET -> links(ways).forEach(link -> {
-                if (fault.figure() >= 1 || world.chance(fault.figure())) {
+            case RESET -> distinctPairs(ways).forEach(link -> {
+                if (fault.figure() >= 1 || world.withProbability(fault.figure())) {
                     world.network.reset(link.from(), link.to());
                 }
             });
-            case RELAY_DIES -> links(ways).forEach(link -> {
-                world.network.relay(link.from(), link.to(), true);
-                world.later(length, () -> world.network.relay(link.from(), link.to(), false));
+            case RELAY_DIES -> distinctPairs(ways).forEach(link -> {
+                world.network.setRelayDead(link.from(), link.to(), true);
+                world.scheduleIn(length, () -> world.network.setRelayDead(link.from(), link.to(), false));
             });
-            case PARTITION, MUTE, DEAF, RING -> trouble(ways, new Impairment(Impairment.Kind.CUT, 0, 0), length);
-            default -> trouble(ways, new Impairment(Impairment.Kind.valueOf(fault.kind().name()), fault.figure(), fault.more()), length);
+            case PARTITION, MUTE, DEAF, RING -> impair(ways, new Impairment(Impairment.Kind.CUT, 0, 0), length);
+            default -> impair(ways, new Impairment(Impairment.Kind.valueOf(fault.kind().name()), fault.figure(), fault.more()), length);
         }
     }
 
     /** Each pair of parties once. */
-    private static List<FaultText.OneWay> links(List<FaultText.OneWay> ways) {
-        Set<FaultText.OneWay> once = new LinkedHashSet<>();
-        ways.stream().filter(way -> !once.contains(new FaultText.OneWay(way.to(), way.from()))).forEach(once::add);
+    private static List<FaultText.DirectedLink> distinctPairs(List<FaultText.DirectedLink> ways) {
+        Set<FaultText.DirectedLink> once = new LinkedHashSet<>();
+        ways.stream().filter(way -> !once.contains(new FaultText.DirectedLink(way.to(), way.from()))).forEach(once::add);
         return List.copyOf(once);
     }
 
-    private void trouble(List<FaultText.OneWay> ways, Impairment trouble, long length) {
-        ways.forEach(way -> world.network.way(way.from(), way.to()).begin(trouble));
-        links(ways).forEach(link -> world.network.changed(link.from(), link.to()));
-        world.later(length, () -> {
-            ways.forEach(way -> world.network.way(way.from(), way.to()).end(trouble));
-            links(ways).forEach(link -> world.network.changed(link.from(), link.to()));
+    private void impair(List<FaultText.DirectedLink> ways, Impairment trouble, long length) {
+        ways.forEach(way -> world.network.direction(way.from(), way.to()).begin(trouble));
+        distinctPairs(ways).forEach(link -> world.network.impairmentsChanged(link.from(), link.to()));
+        world.scheduleIn(length, () -> {
+            ways.forEach(way -> world.network.direction(way.from(), way.to()).end(trouble));
+            distinctPairs(ways).forEach(link -> world.network.impairmentsChanged(link.from(), link.to()));
         });
     }
 
     /** Those faults that are of memory only are never played by processes. */
-    private static LabNode lab(FleetNode node) {
-        return (LabNode) node;
+    private static InMemoryNode inMemory(FleetNode node) {
+        return (InMemoryNode) node;
     }
 
     private void restart(FleetNode node) {
@@ -406,17 +406,17 @@
         if (old.draining) {
             return;
         }
-        int number = receivers.size() + replaced++;
-        add(number, old.destination);
+        int number = receivers.size() + replacements++;
+        addReceiver(number, old.destination);
         old.draining = true;
-        version++;
+        listVersion++;
         world.nodes.stream().filter(FleetNode::up)
                 .forEach(node -> world.record(new Fact.ToldDrain(world.now(), node.name, old.name)));
-        platforms.forEach(Platform::changed);
+        platforms.forEach(Platform::listChanged);
     }
 
     /** The day as lines, with how it came out. */
     List<String> timeline() {
-        return world.facts.stream().map(Fact::line).toList();
+        return world.facts.stream().map(Fact::timelineLine).toList();
     }
 }
--- a/lab/src/main/java/wrenreach/lab/Explore.java
+++ b/lab/src/main/java/wrenreach/lab/ScenarioShrinker.java
@@ -7,32 +7,32 @@
 import wrenreach.api.Settings;
 
 /** Looks for scenarios that break a rule, and cuts one down to what still breaks the same rule. */
-final class Explore {
+final class ScenarioShrinker {
     /** Plays that a shrinking may take. */
-    private static final int PLAYS = 200;
+    private static final int MAX_PLAYS = 200;
 
-    private final Function<Settings, Dispatcher> module;
-    private int plays;
+    private final Function<Settings, Dispatcher> dispatcherFactory;
+    private int playCount;
 
-    Explore(Function<Settings, Dispatcher> module) {
-        this.module = module;
+    ScenarioShrinker(Function<Settings, Dispatcher> module) {
+        this.dispatcherFactory = module;
     }
 
     /** What a scenario breaks. */
-    List<Rules.Break> breaks(Scenario scenario) {
-        Play play = Play.of(scenario, module);
+    List<Rules.Violation> violations(Scenario scenario) {
+        ScenarioRun play = ScenarioRun.of(scenario, dispatcherFactory);
         return Rules.judge(scenario, play.world.facts, play.settings, play.world.now());
     }
 
     /** The smallest scenario found that still breaks the rule: fewest faults, nodes, receivers, mails, time. */
     Scenario shrink(Scenario broken, Rules.Rule rule) {
-        plays = 0;
+        playCount = 0;
         Scenario least = broken;
-        for (boolean smaller = true; smaller && plays < PLAYS;) {
+        for (boolean smaller = true; smaller && playCount < MAX_PLAYS;) {
             smaller = false;
-            for (Scenario next : smallerThan(least)) {
-                plays++;
-                if (breaks(next).stream().anyMatch(one -> one.rule() == rule)) {
+            for (Scenario next : smallerVariants(least)) {
+                playCount++;
+                if (violations(next).stream().anyMatch(one -> one.rule() == rule)) {
                     least = next;
                     smaller = true;
                     break;
@@ -42,7 +42,7 @@
         return least;
     }
 
-    private static List<Scenario> smallerThan(Scenario s) {
+    private static List<Scenario> smallerVariants(Scenario s) {
         List<Scenario> all = new ArrayList<>();
         for (int i = 0; i < s.faults().size(); i++) {
             List<Scenario.Fault> fewer = new ArrayList<>(s.faults());
--- a/lab/src/main/java/wrenreach/lab/Soak.java
+++ b/lab/src/main/java/wrenreach/lab/Soak.java
@@ -18,7 +18,7 @@
  */
 final class Soak {
     /** Plays that the cutting down of one day may take: each lasts as long as the day. */
-    private static final int MOST_REPLAYS = 8;
+    private static final int MAX_REPLAYS = 8;
 
     private final Path folder;
     private final PrintStream out;
@@ -36,8 +36,8 @@
         try {
             List<Future<Boolean>> days = new ArrayList<>();
             for (long seed = from; seed <= to; seed++) {
-                Scenario day = SoakDay.of(seed);
-                days.add(pool.submit(() -> kept(day)));
+                Scenario day = SoakDay.generate(seed);
+                days.add(pool.submit(() -> playAndReport(day)));
             }
             for (Future<Boolean> day : days) {
                 failed += day.get() ? 0 : 1;
@@ -52,25 +52,25 @@
     }
 
     /** Plays one day's text again; whether it kept the rules. */
-    boolean again(Path file) throws IOException, Scenario.Unreadable {
+    boolean replay(Path file) throws IOException, Scenario.InvalidScenarioException {
         Scenario day = Scenario.parse(Files.readAllLines(file));
-        List<String> broken = breaks(day, folder.resolve("again"));
+        List<String> broken = violations(day, folder.resolve("again"));
         broken.forEach(what -> out.println("BROKEN " + what));
         out.println(broken.isEmpty() ? "all rules kept" : broken.size() + " breaks");
         return broken.isEmpty();
     }
 
-    private boolean kept(Scenario day) throws IOException {
+    private boolean playAndReport(Scenario day) throws IOException {
         long begin = System.nanoTime();
-        List<String> broken = breaks(day, folder.resolve("seed-" + day.seed()));
-        say(String.format(Locale.ROOT, "seed %d: %s; %d nodes, %d faults, %.0f s", day.seed(),
+        List<String> broken = violations(day, folder.resolve("seed-" + day.seed()));
+        printLine(String.format(Locale.ROOT, "seed %d: %s; %d nodes, %d faults, %.0f s", day.seed(),
                 broken.isEmpty() ? "kept" : "BROKEN " + broken.get(0), day.nodes(), day.faults().size(), (System.nanoTime() - begin) / 1e9));
         if (broken.isEmpty()) {
             return true;
         }
         Path file = folder.resolve("seed-" + day.seed() + ".day");
         Files.writeString(file, "# " + broken.get(0) + System.lineSeparator() + day.text());
-        say("seed " + day.seed() + ": play it again with: bin/wrenreach lab soak --day " + file);
+        printLine("seed " + day.seed() + ": play it again with: bin/wrenreach lab soak --day " + file);
         shrink(day, broken.get(0));
         return false;
     }
@@ -80,12 +80,12 @@
         String rule = what.replaceFirst(":.*", "");
         Scenario least = broken;
         int plays = 0;
-        for (int i = 0; i < least.faults().size() && plays < MOST_REPLAYS;) {
+        for (int i = 0; i < least.faults().size() && plays < MAX_REPLAYS;) {
             List<Scenario.Fault> fewer = new ArrayList<>(least.faults());
             fewer.remove(i);
             plays++;
             Scenario next = least.with(fewer);
-            if (breaks(next, folder.resolve("seed-" + broken.seed() + "-shrunk")).stream().anyMatch(one -> one.startsWith(rule))) {
+            if (violations(next, folder.resolve("seed-" + broken.seed() + "-shrunk")).stream().anyMatch(one -> one.startsWith(rule))) {
                 least = next;
             } else {
                 i++;
@@ -93,17 +93,17 @@
         }
         Path file = folder.resolve("seed-" + broken.seed() + "-least.day");
         Files.writeString(file, "# " + what + System.lineSeparator() + least.text());
-        say(String.format(Locale.ROOT, "seed %d: %d of %d faults are left after %d plays, see %s", broken.seed(), least.faults().size(),
+        printLine(String.format(Locale.ROOT, "seed %d: %d of %d faults are left after %d plays, see %s", broken.seed(), least.faults().size(),
                 broken.faults().size(), plays, file));
     }
 
     /** What the day breaks, each as "RULE: what"; a day that can't be played is told as such. */
-    private List<String> breaks(Scenario day, Path logs) throws IOException {
+    private List<String> violations(Scenario day, Path logs) throws IOException {
         Files.createDirectories(logs);
         try {
-            Trials.Trial trial = Load.day(day, Experiment.Setup.NONE, 1, logs);
-            trial.verdict().unjudged().forEach(one -> say("seed " + day.seed() + ": can't tell of " + one.rule() + ": " + one.what()));
-            return trial.breaks().stream().map(one -> one.rule() + ": " + one.what()).toList();
+            ExperimentRunner.DayResult trial = ProcessTrials.playDay(day, Experiment.Setup.NONE, 1, logs);
+            trial.verdict().inconclusive().forEach(one -> printLine("seed " + day.seed() + ": can't tell of " + one.rule() + ": " + one.what()));
+            return trial.violations().stream().map(one -> one.rule() + ": " + one.what()).toList();
         } catch (IOException e) {
             return List.of("NOT PLAYED: " + e.getMessage());
         } catch (InterruptedException e) {
@@ -112,7 +112,7 @@
         }
     }
 
-    private void say(String line) {
+    private void printLine(String line) {
         synchronized (out) {
             out.println(line);
             out.flush();
--- a/lab/src/main/java/wrenreach/lab/SoakDay.java
+++ b/lab/src/main/java/wrenreach/lab/SoakDay.java
@@ -14,9 +14,9 @@
  * series of them, of the process (signals, reloads), of its machine (system calls, clock, folder), of its receivers or of its links.
  */
 final class SoakDay {
-    private static final int MOST_TROUBLES = 4, MOST_NODES = 5, LARGE_FLEET = 20, ONE_LARGE_IN = 12;
+    private static final int MAX_INCIDENTS = 4, MAX_SMALL_FLEET_NODES = 5, LARGE_FLEET_NODES = 20, LARGE_FLEET_ONE_IN = 12;
     private static final int LENGTH_MS = 9000, QUIET_MS = 5000, EARLIEST_MS = 700, LATEST_MS = 5500;
-    private static final double MOST_FAILING = 0.3;
+    private static final double MAX_FAILURE_SHARE = 0.3;
 
     private final UniformRandomProvider random;
     private final int nodes;
@@ -25,18 +25,18 @@
 
     private SoakDay(long seed) {
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 53 + 11);
-        nodes = random.nextInt(ONE_LARGE_IN) == 0 ? LARGE_FLEET : 3 + random.nextInt(MOST_NODES - 2);
+        nodes = random.nextInt(LARGE_FLEET_ONE_IN) == 0 ? LARGE_FLEET_NODES : 3 + random.nextInt(MAX_SMALL_FLEET_NODES - 2);
         receivers = 2 * (1 + random.nextInt(3));
     }
 
     /** The day of this seed. */
-    static Scenario of(long seed) {
+    static Scenario generate(long seed) {
         SoakDay day = new SoakDay(seed);
         // Some troubles come only after a long quiet time.
         int quiet = day.random.nextInt(4) == 0 ? QUIET_MS : 0;
-        int troubles = 1 + day.random.nextInt(MOST_TROUBLES);
+        int troubles = 1 + day.random.nextInt(MAX_INCIDENTS);
         for (int i = 0; i < troubles; i++) {
-            day.trouble(quiet + EARLIEST_MS + day.random.nextInt(LATEST_MS - EARLIEST_MS));
+            day.addIncident(quiet + EARLIEST_MS + day.random.nextInt(LATEST_MS - EARLIEST_MS));
         }
         Map<Scenario.Figure, Integer> figures = new EnumMap<>(Scenario.Figure.class);
         figures.put(Scenario.Figure.NODES, day.nodes);
@@ -46,10 +46,10 @@
         figures.put(Scenario.Figure.RATE, 30 + day.random.nextInt(60));
         figures.put(Scenario.Figure.LENGTH, LENGTH_MS + quiet);
         day.faults.sort(Comparator.comparingInt(Scenario.Fault::atMs));
-        return new Scenario(seed, figures, day.classes(), day.faults);
+        return new Scenario(seed, figures, day.generateClasses(), day.faults);
     }
 
-    private List<Scenario.QueueClass> classes() {
+    private List<Scenario.QueueClass> generateClasses() {
         List<Scenario.QueueClass> all = new ArrayList<>();
         for (Effect effect : Effect.values()) {
             all.add(new Scenario.QueueClass(effect.name().toLowerCase(java.util.Locale.ROOT), effect, 1 + random.nextInt(5),
@@ -58,72 +58,72 @@
         return all;
     }
 
-    private void trouble(int at) {
+    private void addIncident(int at) {
         switch (random.nextInt(4)) {
-            case 0 -> process(at);
-            case 1 -> machine(at);
-            case 2 -> receiver(at);
-            default -> link(at);
+            case 0 -> addProcessIncident(at);
+            case 1 -> addMachineIncident(at);
+            case 2 -> addReceiverIncident(at);
+            default -> addLinkIncident(at);
         }
     }
 
-    private void process(int at) {
+    private void addProcessIncident(int at) {
         int node = random.nextInt(nodes);
         switch (random.nextInt(9)) {
-            case 0 -> add(Scenario.Kind.KILL, node, at, 300);
-            case 8 -> add(Scenario.Kind.KILL_IN_WRITE, node, at, 300);
-            case 1 -> add(Scenario.Kind.STOP, node, at, 300);
+            case 0 -> addFault(Scenario.Kind.KILL, node, at, 300);
+            case 8 -> addFault(Scenario.Kind.KILL_IN_WRITE, node, at, 300);
+            case 1 -> addFault(Scenario.Kind.STOP, node, at, 300);
             case 2 -> {
-                add(Scenario.Kind.RELOAD, node, at, 1500);
-                add(Scenario.Kind.STOP, node, at + 60, 300);
+                addFault(Scenario.Kind.RELOAD, node, at, 1500);
+                addFault(Scenario.Kind.STOP, node, at + 60, 300);
             }
             case 3 -> {
-                add(Scenario.Kind.STOP, node, at, 300);
-                add(Scenario.Kind.STOP, node, at + 200, 300);
+                addFault(Scenario.Kind.STOP, node, at, 300);
+                addFault(Scenario.Kind.STOP, node, at + 200, 300);
             }
             case 4 -> {
-                add(Scenario.Kind.KILL, node, at, 200);
-                add(Scenario.Kind.STOP, node, at + 350, 300);
+                addFault(Scenario.Kind.KILL, node, at, 200);
+                addFault(Scenario.Kind.STOP, node, at + 350, 300);
             }
             case 5 -> {
-                add(Scenario.Kind.RELOAD, node, at, 400);
-                add(Scenario.Kind.RELOAD, node, at + 700, 300);
+                addFault(Scenario.Kind.RELOAD, node, at, 400);
+                addFault(Scenario.Kind.RELOAD, node, at + 700, 300);
             }
-            case 6 -> add(Scenario.Kind.FREEZE, node, at, 300 + random.nextInt(1500));
-            default -> add(Scenario.Kind.IGNORES_TERM, node, at, 300);
+            case 6 -> addFault(Scenario.Kind.FREEZE, node, at, 300 + random.nextInt(1500));
+            default -> addFault(Scenario.Kind.IGNORES_TERM, node, at, 300);
         }
     }
 
-    private void machine(int at) {
+    private void addMachineIncident(int at) {
         int node = random.nextInt(nodes);
         int length = 500 + random.nextInt(3000);
-        double share = 0.02 + random.nextDouble() * (MOST_FAILING - 0.02);
+        double share = 0.02 + random.nextDouble() * (MAX_FAILURE_SHARE - 0.02);
         switch (random.nextInt(9)) {
-            case 0 -> fails(Scenario.Kind.SOCKET_FAILS, node, share, at, length);
-            case 1 -> fails(Scenario.Kind.CONNECT_FAILS, node, share, at, length);
-            case 2 -> fails(Scenario.Kind.ACCEPT_FAILS, node, share, at, length);
-            case 3 -> fails(Scenario.Kind.TRANSFER_FAILS, node, share / 10, at, length);
-            case 4 -> fails(Scenario.Kind.SHORT_TRANSFERS, node, 2 * share, at, length);
-            case 5 -> fails(Scenario.Kind.WAITS_INTERRUPTED, node, share, at, length);
-            case 6 -> fails(Scenario.Kind.FOLDER_FAILS, node, random.nextInt(2) == 0 ? 1 : share, at, Math.min(length, 2000));
+            case 0 -> addFaultWithFigure(Scenario.Kind.SOCKET_FAILS, node, share, at, length);
+            case 1 -> addFaultWithFigure(Scenario.Kind.CONNECT_FAILS, node, share, at, length);
+            case 2 -> addFaultWithFigure(Scenario.Kind.ACCEPT_FAILS, node, share, at, length);
+            case 3 -> addFaultWithFigure(Scenario.Kind.TRANSFER_FAILS, node, share / 10, at, length);
+            case 4 -> addFaultWithFigure(Scenario.Kind.SHORT_TRANSFERS, node, 2 * share, at, length);
+            case 5 -> addFaultWithFigure(Scenario.Kind.WAITS_INTERRUPTED, node, share, at, length);
+            case 6 -> addFaultWithFigure(Scenario.Kind.FOLDER_FAILS, node, random.nextInt(2) == 0 ? 1 : share, at, Math.min(length, 2000));
             case 7 -> {
-                fails(Scenario.Kind.WALL_AHEAD, node, 3600, at, 30_000);
-                add(Scenario.Kind.KILL, node, at + random.nextInt(400), 300);
+                addFaultWithFigure(Scenario.Kind.WALL_AHEAD, node, 3600, at, 30_000);
+                addFault(Scenario.Kind.KILL, node, at + random.nextInt(400), 300);
             }
             default -> {
-                add(Scenario.Kind.KILL, node, at, 300);
-                fails(Scenario.Kind.WALL_BEHIND, node, 3600, at + 100, 30_000);
+                addFault(Scenario.Kind.KILL, node, at, 300);
+                addFaultWithFigure(Scenario.Kind.WALL_BEHIND, node, 3600, at + 100, 30_000);
             }
         }
     }
 
-    private void receiver(int at) {
+    private void addReceiverIncident(int at) {
         Scenario.Kind[] kinds = {Scenario.Kind.DOWN, Scenario.Kind.VANISH, Scenario.Kind.SILENT, Scenario.Kind.SLOW, Scenario.Kind.FULL,
             Scenario.Kind.ERRING, Scenario.Kind.DRAIN};
-        add(kinds[random.nextInt(kinds.length)], random.nextInt(receivers), at, 500 + random.nextInt(2500));
+        addFault(kinds[random.nextInt(kinds.length)], random.nextInt(receivers), at, 500 + random.nextInt(2500));
     }
 
-    private void link(int at) {
+    private void addLinkIncident(int at) {
         String node = "n" + random.nextInt(nodes);
         String other = List.of("platform", "r" + random.nextInt(receivers), "receivers").get(random.nextInt(3));
         int length = 300 + random.nextInt(1500);
@@ -140,11 +140,11 @@
         }
     }
 
-    private void add(Scenario.Kind kind, int which, int at, int length) {
+    private void addFault(Scenario.Kind kind, int which, int at, int length) {
         faults.add(new Scenario.Fault(kind, which, at, length));
     }
 
-    private void fails(Scenario.Kind kind, int node, double figure, int at, int length) {
+    private void addFaultWithFigure(Scenario.Kind kind, int node, double figure, int at, int length) {
         faults.add(new Scenario.Fault(kind, Integer.toString(node), Math.round(1000 * figure) / 1000.0, 0, at, null, length));
     }
 }
--- a/lab/src/main/java/wrenreach/lab/SocketNetwork.java
+++ b/lab/src/main/java/wrenreach/lab/SocketNetwork.java
@@ -24,19 +24,19 @@
  * carry what is wrong with a link.
  */
 final class SocketNetwork extends Network {
-    private static final int CONNECT_MS = 1000;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
 
-    private static final class Door {
+    private static final class ListeningSocket {
         final Listener listener;
         Channel channel;
 
-        Door(Listener listener) {
+        ListeningSocket(Listener listener) {
             this.listener = listener;
         }
     }
 
     private final EventLoop loop;
-    private final Map<InetSocketAddress, Door> doors = new LinkedHashMap<>();
+    private final Map<InetSocketAddress, ListeningSocket> listeningSockets = new LinkedHashMap<>();
     private final Relays relays;
 
     SocketNetwork(EventLoop loop, Relays relays) {
@@ -44,11 +44,11 @@
         this.relays = relays;
     }
 
-    private static final class Socket extends Link {
+    private static final class SocketLink extends Link {
         private final Channel channel;
         private End end;
 
-        private Socket(Party a, Party b, Channel channel) {
+        private SocketLink(Party a, Party b, Channel channel) {
             super(a, b);
             this.channel = channel;
         }
@@ -61,16 +61,16 @@
             channel.close();
         }
 
-        @Override boolean closedByAsker() {
+        @Override boolean closedByInitiator() {
             return !channel.isActive();
         }
     }
 
     /** Hands on what comes to the end that the link has by then. */
-    private static final class Hears extends ChannelInboundHandlerAdapter {
-        private final Socket link;
+    private static final class InboundHandler extends ChannelInboundHandlerAdapter {
+        private final SocketLink link;
 
-        Hears(Socket link) {
+        InboundHandler(SocketLink link) {
             this.link = link;
         }
 
@@ -86,8 +86,8 @@
         }
 
         @Override public void channelInactive(ChannelHandlerContext context) {
-            link.a.links.remove(link);
-            link.b.links.remove(link);
+            link.initiator.links.remove(link);
+            link.acceptor.links.remove(link);
             if (link.end != null) {
                 link.end.closed();
             }
@@ -100,21 +100,21 @@
     }
 
     @Override void listen(InetSocketAddress at, Listener listener) {
-        Door door = new Door(listener);
-        doors.put(at, door);
+        ListeningSocket door = new ListeningSocket(listener);
+        listeningSockets.put(at, door);
         open(at, door);
     }
 
-    private void open(InetSocketAddress at, Door door) {
+    private void open(InetSocketAddress at, ListeningSocket door) {
         ServerBootstrap server = new ServerBootstrap().group(loop).channelFactory(TcpRelay::listener)
                 .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
                         InetSocketAddress from = (InetSocketAddress) channel.remoteAddress();
-                        Socket link = new Socket(relays.asks(from.getAddress()), door.listener.party(), channel);
-                        link.b.links.add(link);
+                        SocketLink link = new SocketLink(relays.partyAt(from.getAddress()), door.listener.party(), channel);
+                        link.acceptor.links.add(link);
                         link.end = door.listener.accepted(link, from);
-                        channel.pipeline().addLast(new Hears(link));
+                        channel.pipeline().addLast(new InboundHandler(link));
                     }
                 });
         ChannelFuture bound = server.bind(at);
@@ -127,19 +127,19 @@
     }
 
     @Override void unlisten(InetSocketAddress at, Listener listener) {
-        Door door = doors.remove(at);
+        ListeningSocket door = listeningSockets.remove(at);
         if (door != null) {
             door.channel.close();
         }
     }
 
-    @Override void connect(Party from, InetSocketAddress own, InetSocketAddress to, Connecting asks) {
-        Socket[] link = new Socket[1];
+    @Override void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler asks) {
+        SocketLink[] link = new SocketLink[1];
         new Bootstrap().group(loop).channelFactory(TcpRelay::connection).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS).handler(new ChannelInitializer<Channel>() {
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS).handler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        link[0] = new Socket(from, new Party(to.toString()), channel);
-                        channel.pipeline().addLast(new Hears(link[0]));
+                        link[0] = new SocketLink(from, new Party(to.toString()), channel);
+                        channel.pipeline().addLast(new InboundHandler(link[0]));
                     }
                 }).connect(to).addListener(done -> {
                     if (done.isSuccess()) {
@@ -151,28 +151,28 @@
                 });
     }
 
-    @Override LinkDirection way(String from, String to) {
-        return relays.way(from, to);
+    @Override LinkDirection direction(String from, String to) {
+        return relays.direction(from, to);
     }
 
-    @Override void changed(String a, String b) {
-        relays.changed(a, b);
+    @Override void impairmentsChanged(String a, String b) {
+        relays.impairmentsChanged(a, b);
     }
 
     @Override void reset(String a, String b) {
         relays.reset(a, b);
     }
 
-    @Override void relay(String a, String b, boolean dead) {
-        relays.dead(a, b, dead);
+    @Override void setRelayDead(String a, String b, boolean dead) {
+        relays.setDead(a, b, dead);
     }
 
     @Override void die(Party party, boolean takeBack) {
         party.up = false;
-        relays.listens(party.name, false);
-        party.missedBy.addAll(relays.all());
-        doors.values().stream().filter(door -> door.listener.party() == party).forEach(door -> door.channel.close());
-        List.copyOf(party.links).forEach(link -> ((Socket) link).channel.close());
+        relays.setListening(party.name, false);
+        party.foundGoneBy.addAll(relays.allNodes());
+        listeningSockets.values().stream().filter(door -> door.listener.party() == party).forEach(door -> door.channel.close());
+        List.copyOf(party.links).forEach(link -> ((SocketLink) link).channel.close());
         party.links.clear();
     }
 
@@ -181,8 +181,8 @@
         party.up = false;
         party.vanished = true;
         relays.isolate(party.name, true);
-        party.missedBy.addAll(relays.all());
-        List.copyOf(party.links).forEach(link -> ((Socket) link).channel.close());
+        party.foundGoneBy.addAll(relays.allNodes());
+        List.copyOf(party.links).forEach(link -> ((SocketLink) link).channel.close());
         party.links.clear();
     }
 
@@ -193,11 +193,11 @@
             relays.isolate(party.name, false);
             return;
         }
-        doors.forEach((at, door) -> {
+        listeningSockets.forEach((at, door) -> {
             if (door.listener.party() == party) {
                 open(at, door);
             }
         });
-        relays.listens(party.name, true);
+        relays.setListening(party.name, true);
     }
 }
--- a/lab/src/main/java/wrenreach/lab/Story.java
+++ b/lab/src/main/java/wrenreach/lab/Story.java
@@ -17,13 +17,13 @@
  */
 public final class Story {
     /** Lines of a timeline that are shown before and after a breach. */
-    private static final int BEFORE = 25, AFTER = 5;
-    private static final long SECOND = 1_000_000_000;
+    private static final int LINES_BEFORE = 25, LINES_AFTER = 5;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final Map<Scenario.Figure, Integer> figures = new EnumMap<>(Scenario.Figure.class);
     private final List<Scenario.QueueClass> classes = new ArrayList<>();
     private final List<Scenario.Fault> faults = new ArrayList<>();
-    private final List<Play> plays = new ArrayList<>();
+    private final List<ScenarioRun> plays = new ArrayList<>();
 
     public Story nodes(int nodes, int zones) {
         figures.put(Scenario.Figure.NODES, nodes);
@@ -46,7 +46,7 @@
 
     /** NAME EFFECT importance X target MS lifetime MS share N. */
     public Story queueClass(String text) {
-        classes.add(Scenario.queueClass(text));
+        classes.add(Scenario.parseQueueClass(text));
         return this;
     }
 
@@ -58,7 +58,7 @@
 
     /** A fault as experiments have it; throws IllegalArgumentException where it is none. */
     public Story fault(String text) {
-        faults.addAll(FaultText.read(text, figures.getOrDefault(Scenario.Figure.LENGTH, Scenario.Figure.LENGTH.byDefault)));
+        faults.addAll(FaultText.parse(text, figures.getOrDefault(Scenario.Figure.LENGTH, Scenario.Figure.LENGTH.defaultValue)));
         return this;
     }
 
@@ -70,35 +70,35 @@
             if (!day.objections(false).isEmpty()) {
                 throw new IllegalArgumentException(String.join("; ", day.objections(false)));
             }
-            plays.add(Play.of(day, DeliveryDispatcher::new));
+            plays.add(ScenarioRun.of(day, DeliveryDispatcher::new));
         }
     }
 
     /** The rules that broke, with the timeline of the first breach; empty: none did. */
     public String breaches() {
         StringBuilder told = new StringBuilder();
-        for (Play play : plays) {
-            List<Rules.Break> breaks = Rules.judge(play.scenario, play.world.facts, play.settings, play.world.now());
+        for (ScenarioRun play : plays) {
+            List<Rules.Violation> breaks = Rules.judge(play.scenario, play.world.facts, play.settings, play.world.now());
             if (!breaks.isEmpty()) {
                 breaks.stream().limit(5).forEach(one -> told.append(String.format(Locale.ROOT, "seed %d, %.3f s: %s: %s%n",
-                        play.scenario.seed(), (one.at() - World.BEGIN) / 1e9, one.rule(), one.what())));
-                return told.append(around(play, breaks.get(0))).toString();
+                        play.scenario.seed(), (one.at() - World.START_NS) / 1e9, one.rule(), one.what())));
+                return told.append(timelineAround(play, breaks.get(0))).toString();
             }
         }
         return "";
     }
 
     /** What led to a breach: what is known of the mail, and of faults, up to a moment after it. */
-    private static String around(Play play, Rules.Break breach) {
+    private static String timelineAround(ScenarioRun play, Rules.Violation breach) {
         String mail = breach.what().split("[ .]")[0];
-        List<Fact> facts = play.world.facts.stream().filter(fact -> fact.at() <= breach.at() + SECOND && (fact instanceof Fact.Fault
+        List<Fact> facts = play.world.facts.stream().filter(fact -> fact.at() <= breach.at() + NANOS_PER_SECOND && (fact instanceof Fact.Fault
                 || fact instanceof Fact.Died || fact instanceof Fact.Serves || fact.toString().contains("=" + mail + "."))).toList();
         int at = (int) facts.stream().filter(fact -> fact.at() <= breach.at()).count();
-        return String.join(System.lineSeparator(), facts.subList(Math.max(0, at - BEFORE), Math.min(facts.size(), at + AFTER)).stream()
-                .map(Fact::line).toList());
+        return String.join(System.lineSeparator(), facts.subList(Math.max(0, at - LINES_BEFORE), Math.min(facts.size(), at + LINES_AFTER)).stream()
+                .map(Fact::timelineLine).toList());
     }
 
-    private Stream<Fact> facts() {
+    private Stream<Fact> allFacts() {
         return plays.stream().flatMap(play -> play.world.facts.stream());
     }
 
@@ -106,8 +106,8 @@
     public double deliveredPercent() {
         int mails = 0;
         int delivered = 0;
-        for (Play play : plays) {
-            Figures figures = Figures.of(play.world.facts, play.settings, 0);
+        for (ScenarioRun play : plays) {
+            DeliveryMetrics figures = DeliveryMetrics.of(play.world.facts, play.settings, 0);
             mails += figures.mails();
             delivered += figures.delivered();
         }
@@ -117,9 +117,9 @@
     /** The most calls that came to a receiver in any time so long, on any day; from, to: since the day's begin. */
     public int mostCalls(String receiver, int withinMs, int from, int to) {
         int most = 0;
-        for (Play play : plays) {
+        for (ScenarioRun play : plays) {
             List<Long> calls = play.world.facts.stream().filter(fact -> fact instanceof Fact.Called called
-                    && called.receiver().equals(receiver)).map(fact -> (fact.at() - World.BEGIN) / Play.MS)
+                    && called.receiver().equals(receiver)).map(fact -> (fact.at() - World.START_NS) / ScenarioRun.NS_PER_MS)
                     .filter(at -> at >= from && at < to).toList();
             for (int first = 0, last = 0; last < calls.size(); last++) {
                 while (calls.get(last) - calls.get(first) >= withinMs) {
@@ -159,7 +159,7 @@
     public double refusedMoreBehindPercent() {
         int[] came = new int[2];
         int[] refused = new int[2];
-        for (Play play : plays) {
+        for (ScenarioRun play : plays) {
             Map<String, String> keyOf = new HashMap<>();
             Map<String, Set<String>> open = new HashMap<>();
             Set<String> behind = new HashSet<>();
@@ -194,6 +194,6 @@
 
     /** How often a fault's condition did not come. */
     public long neverCame() {
-        return facts().filter(fact -> fact instanceof Fact.NeverCame).count();
+        return allFacts().filter(fact -> fact instanceof Fact.NeverCame).count();
     }
 }
--- a/lab/src/main/java/wrenreach/lab/SystemCallFaults.java
+++ b/lab/src/main/java/wrenreach/lab/SystemCallFaults.java
@@ -18,9 +18,9 @@
  */
 final class SystemCallFaults {
     private static final String SOURCE = "system_call_faults.c", LIBRARY = "system_call_faults.so", CONTROL = "system-call-faults";
-    private static final long COMPILES_WITHIN_S = 60;
-    private static final int MILLION = 1_000_000;
-    private static final int WALL_OFFSET_AT = 8, FAULTS_AT = 16, FAULT_BYTES = 16, ERROR_AT = 4, INJECTED_AT = 8;
+    private static final long COMPILE_TIMEOUT_S = 60;
+    private static final int PARTS_PER_MILLION = 1_000_000;
+    private static final int WALL_OFFSET_POSITION = 8, FAULTS_POSITION = 16, FAULT_BYTES = 16, ERROR_OFFSET = 4, INJECTED_OFFSET = 8;
 
     /** What may fail, in the order of the library's {@code enum call}. */
     enum Call {
@@ -43,7 +43,7 @@
     /** In place of an errno of FOLDER: the process is killed with half of the bytes written. */
     static final int KILLED_IN_WRITE = -9;
     /** In place of an errno: one of those documented for the call is drawn. */
-    static final int DRAWN = 0;
+    static final int RANDOM_ERROR = 0;
 
     private static Path compiled;
 
@@ -55,7 +55,7 @@
     SystemCallFaults(Path stateFolder, long seed) throws IOException {
         this.stateFolder = stateFolder;
         control = stateFolder.resolveSibling(CONTROL);
-        int size = FAULTS_AT + FAULT_BYTES * Call.values().length;
+        int size = FAULTS_POSITION + FAULT_BYTES * Call.values().length;
         try (FileChannel channel = FileChannel.open(control, StandardOpenOption.CREATE, StandardOpenOption.READ,
                 StandardOpenOption.WRITE)) {
             shared = channel.map(FileChannel.MapMode.READ_WRITE, 0, size);
@@ -65,7 +65,7 @@
     }
 
     /** Puts into a process's environment what makes it subject to these faults; IOException where the library can't be had. */
-    void into(Map<String, String> environment) throws IOException {
+    void addToEnvironment(Map<String, String> environment) throws IOException {
         environment.put("LD_PRELOAD", library().toString());
         environment.put("WRENREACH_FAULTS_CONTROL", control.toAbsolutePath().toString());
         environment.put("WRENREACH_FAULTS_FOLDER", stateFolder.toAbsolutePath().toString());
@@ -73,19 +73,19 @@
 
     /** From now on this share of the calls fails, from 0 to 1, with this errno or {@link #DRAWN}. */
     void fail(Call call, double share, int error) {
-        int at = FAULTS_AT + FAULT_BYTES * call.ordinal();
-        shared.putInt(at + ERROR_AT, error);
-        shared.putInt(at, (int) Math.round(share * MILLION));
+        int at = FAULTS_POSITION + FAULT_BYTES * call.ordinal();
+        shared.putInt(at + ERROR_OFFSET, error);
+        shared.putInt(at, (int) Math.round(share * PARTS_PER_MILLION));
     }
 
     /** How many calls have been made to fail since the beginning. */
     int injected(Call call) {
-        return shared.getInt(FAULTS_AT + FAULT_BYTES * call.ordinal() + INJECTED_AT);
+        return shared.getInt(FAULTS_POSITION + FAULT_BYTES * call.ordinal() + INJECTED_OFFSET);
     }
 
     /** The wall clock of the process is ahead of the machine's by so much, or behind it where below 0. */
-    void stepWall(long nanos) {
-        shared.putLong(WALL_OFFSET_AT, shared.getLong(WALL_OFFSET_AT) + nanos);
+    void stepWallClock(long nanos) {
+        shared.putLong(WALL_OFFSET_POSITION, shared.getLong(WALL_OFFSET_POSITION) + nanos);
     }
 
     /** The library, compiled once a run; IOException names what is missing. */
@@ -111,7 +111,7 @@
                 .redirectErrorStream(true).start();
         String said = new String(compiler.getInputStream().readAllBytes());
         try {
-            if (!compiler.waitFor(COMPILES_WITHIN_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+            if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
                 throw new IOException("faults of system calls need a C compiler, and cc did not make the library: " + said);
             }
         } catch (InterruptedException e) {
--- a/lab/src/main/java/wrenreach/lab/World.java
+++ b/lab/src/main/java/wrenreach/lab/World.java
@@ -20,24 +20,24 @@
  */
 class World {
     /** The wall's clock when a world begins, in milliseconds. */
-    static final long WALL = 1_800_000_000_000L;
+    static final long WALL_CLOCK_START_MS = 1_800_000_000_000L;
     /** The instant at which a world begins. */
-    static final long BEGIN = 1_000_000_000L;
+    static final long START_NS = 1_000_000_000L;
 
-    private record Due(long at, long order, Runnable work) { }
+    private record ScheduledEvent(long at, long order, Runnable work) { }
 
     final Network network;
     final List<FleetNode> nodes = new ArrayList<>();
     final List<Fact> facts = new ArrayList<>();
-    private final PriorityQueue<Due> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
             : Long.compare(a.order, b.order));
     private final UniformRandomProvider random;
     private final MessageDigest hash;
-    private long order;
-    private long now = BEGIN;
+    private long nextSequence;
+    private long now = START_NS;
     final Ticker ticker = new Ticker() {
         @Override public long initialNanoTime() {
-            return BEGIN;
+            return START_NS;
         }
 
         @Override public long nanoTime() {
@@ -50,7 +50,7 @@
     };
 
     World(long seed) {
-        this(seed, WireNetwork::new);
+        this(seed, EmulatedNetwork::new);
     }
 
     /** A world on a network of its own. */
@@ -70,35 +70,35 @@
 
     /** Milliseconds of the wall's clock. */
     long wallMillis() {
-        return WALL + now() / 1_000_000;
+        return WALL_CLOCK_START_MS + now() / 1_000_000;
     }
 
-    boolean chance(double share) {
+    boolean withProbability(double share) {
         return random.nextDouble() < share;
     }
 
     /** A number from 0 to below 1. */
-    double share() {
+    double nextUniform() {
         return random.nextDouble();
     }
 
     /** A number from 0 to below the limit. */
-    int below(int limit) {
+    int nextIntBelow(int limit) {
         return random.nextInt(limit);
     }
 
     /** A time of an exponential distribution. */
-    long after(double mean) {
+    long nextExponential(double mean) {
         return (long) (-Math.log(1 - random.nextDouble()) * mean);
     }
 
     /** Has work done at that instant, or at the present one if it has passed. */
-    void at(long when, Runnable work) {
-        events.add(new Due(Math.max(when, now), order++, work));
+    void scheduleAt(long when, Runnable work) {
+        events.add(new ScheduledEvent(Math.max(when, now), nextSequence++, work));
     }
 
-    void later(long delay, Runnable work) {
-        at(now() + delay, work);
+    void scheduleIn(long delay, Runnable work) {
+        scheduleAt(now() + delay, work);
     }
 
     /** Puts a fact on record. */
@@ -108,9 +108,9 @@
     }
 
     /** Plays until that instant. */
-    void play(long until) {
+    void runUntil(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
-            Due next = events.poll();
+            ScheduledEvent next = events.poll();
             now = next.at;
             next.work.run();
         }
@@ -118,7 +118,7 @@
     }
 
     /** What stands for all facts so far. */
-    String print() {
+    String factsHash() {
         try {
             return HexFormat.of().formatHex(((MessageDigest) hash.clone()).digest());
         } catch (CloneNotSupportedException e) {
--- a/lab/src/test/java/wrenreach/lab/ExperimentTest.java
+++ b/lab/src/test/java/wrenreach/lab/ExperimentTest.java
@@ -22,8 +22,8 @@
 import wrenreach.state.CircuitBreakerState;
 
 class ExperimentTest {
-    private static final Logger ROOT = Logger.getLogger("");
-    private static final String SMALL = """
+    private static final Logger ROOT_LOGGER = Logger.getLogger("");
+    private static final String SMALL_EXPERIMENT = """
             [experiment]
             about = "A small one"
             seeds = 2
@@ -43,32 +43,32 @@
     @TempDir Path folder;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
-    @BeforeAll static void quiet() {
+    @BeforeAll static void disableLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        ROOT.setLevel(Level.OFF);
+        ROOT_LOGGER.setLevel(Level.OFF);
     }
 
-    private int lab(String... words) {
+    private int runLab(String... words) {
         out.reset();
         PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
         return new LabCommand().run(List.of(words), print, print);
     }
 
-    private String said() {
+    private String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private Path file(String text) throws Exception {
+    private Path writeExperiment(String text) throws Exception {
         return Files.writeString(folder.resolve("experiment.toml"), text);
     }
 
-    @Test void aRunLeavesItsFiguresAndOnePageAndSaysTheSameWithAnyNumberOfJobs() throws Exception {
-        String file = file(SMALL).toString();
-        assertThat(lab("run", file, "--out", folder.resolve("a").toString(), "--jobs", "1")).as(said()).isZero();
-        String print = said().lines().reduce((x, y) -> y).orElseThrow();
+    @Test void runWritesFiguresAndReportThatDoNotDependOnJobs() throws Exception {
+        String file = writeExperiment(SMALL_EXPERIMENT).toString();
+        assertThat(runLab("run", file, "--out", folder.resolve("a").toString(), "--jobs", "1")).as(output()).isZero();
+        String print = output().lines().reduce((x, y) -> y).orElseThrow();
         assertThat(print).hasSize(64);
-        assertThat(lab("run", file, "--out", folder.resolve("b").toString(), "--jobs", "4")).isZero();
-        assertThat(said().lines().reduce((x, y) -> y)).contains(print);
+        assertThat(runLab("run", file, "--out", folder.resolve("b").toString(), "--jobs", "4")).isZero();
+        assertThat(output().lines().reduce((x, y) -> y)).contains(print);
         for (String name : List.of("results.csv", "delays.hlog", "breakers.csv")) {
             assertThat(folder.resolve("a").resolve(name)).hasSameBinaryContentAs(folder.resolve("b").resolve(name));
         }
@@ -77,17 +77,17 @@
         assertThat(page).contains("A small one", "Delivered importance", "Calls a mail", "Delays, size 2", "Breakers not closed",
                 "data:image/png;base64,").doesNotContain("http:").doesNotContain("https:").doesNotContain("src=\"/");
         RunFiles.Run read = RunFiles.read(folder.resolve("a"));
-        assertThat(read.figures().keySet()).containsExactly(1, 2);
-        Figures point = read.figures().get(2).get("wrenreach");
+        assertThat(read.metrics().keySet()).containsExactly(1, 2);
+        DeliveryMetrics point = read.metrics().get(2).get("wrenreach");
         assertThat((long) point.delivered()).isPositive().isEqualTo(point.delays().getTotalCount());
-        assertThat(point.breakers()).isNotEmpty();
-        assertThat(lab("beside", folder.resolve("a").toString(), folder.resolve("b").toString(), "--out",
+        assertThat(point.breakerHistory()).isNotEmpty();
+        assertThat(runLab("beside", folder.resolve("a").toString(), folder.resolve("b").toString(), "--out",
                 folder.resolve("two.html").toString())).isZero();
         assertThat(folder.resolve("two.html")).content().contains("What differs", "&rarr;");
     }
 
-    @Test void everyFaultOfAFileIsToldWithItsLineAndNothingIsWritten() throws Exception {
-        Path file = file("""
+    @Test void reportsEveryFileErrorWithItsLineAndWritesNothing() throws Exception {
+        Path file = writeExperiment("""
                 [experiment]
                 about = "Wrong"
                 seeds = 0
@@ -104,58 +104,58 @@
                 schedule = ["down 0 at 500", "melt 0 at 1 for 1"]
                 """);
         Path result = folder.resolve("result");
-        assertThat(lab("run", file.toString(), "--out", result.toString())).isEqualTo(2);
-        assertThat(said()).contains(file + ":3: experiment.seeds:", file + ":4: experiment.dispatchers: luck is not known",
+        assertThat(runLab("run", file.toString(), "--out", result.toString())).isEqualTo(2);
+        assertThat(output()).contains(file + ":3: experiment.seeds:", file + ":4: experiment.dispatchers: luck is not known",
                 file + ":6: fleet.node: is not known", file + ":11: traffic.classes: twice is not known",
                 file + ":14: faults.schedule: is no fault of the form", "melt is not known");
         assertThat(result).doesNotExist();
-        assertThat(lab("run", file("[experiment\n").toString(), "--out", result.toString())).isEqualTo(2);
-        assertThat(lab("run", file("[experiment]\nabout = \"x\"\n").toString(), "--out", result.toString())).isEqualTo(2);
-        assertThat(said()).contains("fleet: is missing", "traffic: is missing");
-        assertThat(lab("run", folder.resolve("none.toml").toString(), "--out", result.toString())).isEqualTo(2);
-        assertThat(lab("run", file.toString())).isEqualTo(2);
-        assertThat(lab("run", file.toString(), "--out", result.toString(), "--jobs", "0")).isEqualTo(2);
+        assertThat(runLab("run", writeExperiment("[experiment\n").toString(), "--out", result.toString())).isEqualTo(2);
+        assertThat(runLab("run", writeExperiment("[experiment]\nabout = \"x\"\n").toString(), "--out", result.toString())).isEqualTo(2);
+        assertThat(output()).contains("fleet: is missing", "traffic: is missing");
+        assertThat(runLab("run", folder.resolve("none.toml").toString(), "--out", result.toString())).isEqualTo(2);
+        assertThat(runLab("run", file.toString())).isEqualTo(2);
+        assertThat(runLab("run", file.toString(), "--out", result.toString(), "--jobs", "0")).isEqualTo(2);
     }
 
-    @Test void aFolderThatCantBeWrittenIsToldBeforeAnythingIsPlayed() throws Exception {
-        String file = file(SMALL).toString();
+    @Test void rejectsUnwritableFolderBeforePlaying() throws Exception {
+        String file = writeExperiment(SMALL_EXPERIMENT).toString();
         Path there = Files.writeString(folder.resolve("there"), "a file");
-        assertThat(lab("run", file, "--out", there.toString())).isEqualTo(1);
-        assertThat(lab("run", file, "--out", there.resolve("under").toString())).isEqualTo(1);
+        assertThat(runLab("run", file, "--out", there.toString())).isEqualTo(1);
+        assertThat(runLab("run", file, "--out", there.resolve("under").toString())).isEqualTo(1);
         Path full = Files.createDirectory(folder.resolve("full"));
         Files.writeString(full.resolve("kept"), "");
-        assertThat(lab("run", file, "--out", full.toString())).isEqualTo(1);
+        assertThat(runLab("run", file, "--out", full.toString())).isEqualTo(1);
         assertThat(there).hasContent("a file");
         try (Stream<Path> all = Files.list(folder)) {
             assertThat(all.map(one -> one.getFileName().toString())).containsExactlyInAnyOrder("experiment.toml", "there", "full");
         }
-        assertThat(lab("beside", full.toString(), full.toString(), "--out", folder.resolve("two.html").toString())).isEqualTo(1);
+        assertThat(runLab("beside", full.toString(), full.toString(), "--out", folder.resolve("two.html").toString())).isEqualTo(1);
     }
 
-    @Test void readyExperimentsCanBeRead() throws Exception {
+    @Test void parsesBundledExperiments() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("lab/experiments"))) {
             List<Path> all = files.sorted().toList();
             assertThat(all).hasSizeGreaterThanOrEqualTo(5);
             for (Path one : all) {
                 Experiment read = Experiment.read(one);
                 assertThat(read.about().dispatchers()).as(one.toString()).contains("wrenreach", "plain breaker");
-                assertThat(Scenario.parse(read.at(2, 1).text().lines().toList())).isEqualTo(read.at(2, 1));
+                assertThat(Scenario.parse(read.scenarioAt(2, 1).text().lines().toList())).isEqualTo(read.scenarioAt(2, 1));
             }
         }
         Experiment down = Experiment.read(Path.of("lab/experiments/one-down.toml"));
-        assertThat(down.at(100, 0).nodes()).isEqualTo(300);
-        assertThat(down.at(100, 0).rate()).isEqualTo(500);
-        assertThat(Experiment.read(Path.of("lab/experiments/replacement.toml")).at(1, 0).faults()).hasSize(59)
+        assertThat(down.scenarioAt(100, 0).nodes()).isEqualTo(300);
+        assertThat(down.scenarioAt(100, 0).rate()).isEqualTo(500);
+        assertThat(Experiment.read(Path.of("lab/experiments/replacement.toml")).scenarioAt(1, 0).faults()).hasSize(59)
                 .extracting(Scenario.Fault::target).startsWith("1", "2", "3");
     }
 
-    @Test void figuresAreThoseOfTheFacts() {
+    @Test void computesMetricsFromFacts() {
         Settings.QueueClass urgent = new Settings.QueueClass(1_000_000, 3_000_000, 4, 0.5, false, Settings.Effect.TAGGED,
                 Settings.DeduplicationScope.ALL, 0, true);
-        assertThat(Figures.worth(urgent, 900_000)).isEqualTo(4);
-        assertThat(Figures.worth(urgent, 2_000_000)).isCloseTo(3, within(1e-9));
-        assertThat(Figures.worth(urgent, 9_000_000)).isCloseTo(2, within(1e-9));
-        Settings base = Play.of(Scenario.drawn(1).with(List.of()).with(Scenario.Figure.LENGTH, 1000), Baseline::oneTry).settings;
+        assertThat(DeliveryMetrics.valueAtDelivery(urgent, 900_000)).isEqualTo(4);
+        assertThat(DeliveryMetrics.valueAtDelivery(urgent, 2_000_000)).isCloseTo(3, within(1e-9));
+        assertThat(DeliveryMetrics.valueAtDelivery(urgent, 9_000_000)).isCloseTo(2, within(1e-9));
+        Settings base = ScenarioRun.of(Scenario.generate(1).with(List.of()).with(Scenario.Figure.LENGTH, 1000), Baseline::singleAttempt).settings;
         Settings.QueueClass c = base.classes().get(0);
         long second = 1_000_000_000L;
         List<Fact> facts = List.of(new Fact.HandedIn(second, "m0.0", "n0", 0, 0, "k", "m0", 9 * second),
@@ -166,29 +166,29 @@
                 new Fact.Turned(5 * second, "n0", "d", CircuitBreakerState.Phase.OPEN),
                 new Fact.Turned(6 * second, "n0", "d", CircuitBreakerState.Phase.HALF_OPEN),
                 new Fact.Turned(7 * second, "n0", "d", CircuitBreakerState.Phase.CLOSED));
-        Figures figures = Figures.of(facts, base, 0);
+        DeliveryMetrics figures = DeliveryMetrics.of(facts, base, 0);
         assertThat(figures.mails()).isEqualTo(2);
         assertThat(figures.delivered()).isEqualTo(1);
-        assertThat(figures.triesAMail()).isEqualTo(0.5);
-        assertThat(figures.delayMs(50)).isCloseTo(2000, within(2.0));
-        assertThat(figures.importanceShare()).isCloseTo(Figures.worth(c, 2_000_000) / (2 * c.importance()), within(1e-9));
-        assertThat(figures.breakers()).extracting(Figures.Point::open).containsExactly(1, 0, 0);
-        assertThat(figures.breakers()).extracting(Figures.Point::halfOpen).containsExactly(0, 1, 0);
+        assertThat(figures.callsPerMail()).isEqualTo(0.5);
+        assertThat(figures.delayPercentileMs(50)).isCloseTo(2000, within(2.0));
+        assertThat(figures.importanceShare()).isCloseTo(DeliveryMetrics.valueAtDelivery(c, 2_000_000) / (2 * c.importance()), within(1e-9));
+        assertThat(figures.breakerHistory()).extracting(DeliveryMetrics.BreakerCounts::open).containsExactly(1, 0, 0);
+        assertThat(figures.breakerHistory()).extracting(DeliveryMetrics.BreakerCounts::halfOpen).containsExactly(0, 1, 0);
     }
 
     /** The source's breaker: nothing goes out while it rests, then one probe at a time. */
-    @Test void thePlainBreakerParksAndProbes() throws Exception {
+    @Test void baselineBreakerOpensAndProbes() throws Exception {
         Scenario day = Scenario.parse(List.of("seed 2", "rate 40", "length 9000", "fault down 0 at 2000 for 3000"));
-        Play plain = Play.of(day, Baseline::plainBreaker);
+        ScenarioRun plain = ScenarioRun.of(day, Baseline::withCircuitBreaker);
         assertThat(plain.world.facts.stream().filter(f -> f instanceof Fact.Turned).map(f -> ((Fact.Turned) f).phase()))
                 .startsWith(CircuitBreakerState.Phase.OPEN, CircuitBreakerState.Phase.HALF_OPEN).endsWith(CircuitBreakerState.Phase.CLOSED);
     }
 
-    @Test void aFaultThatComesBackHitsTheNextOne() {
-        assertThat(FaultText.read("kill 1 at 100 for 50 every 300", 800)).extracting(Scenario.Fault::text)
+    @Test void repeatedFaultHitsTheNextTargetEachTime() {
+        assertThat(FaultText.parse("kill 1 at 100 for 50 every 300", 800)).extracting(Scenario.Fault::text)
                 .containsExactly("fault kill 1 at 100 for 50", "fault kill 2 at 400 for 50", "fault kill 3 at 700 for 50");
-        assertThatThrownBy(() -> FaultText.read("kill 1 at 100", 800)).hasMessageContaining("KIND WHICH [FIGURE [MORE]] at MS");
-        assertThatThrownBy(() -> Scenario.queueClass("a tagged importance 1 target 9 lifetime 8 share 1"))
+        assertThatThrownBy(() -> FaultText.parse("kill 1 at 100", 800)).hasMessageContaining("KIND WHICH [FIGURE [MORE]] at MS");
+        assertThatThrownBy(() -> Scenario.parseQueueClass("a tagged importance 1 target 9 lifetime 8 share 1"))
                 .hasMessageContaining("no longer than its lifetime");
     }
 }
--- a/lab/src/test/java/wrenreach/lab/GroundTest.java
+++ b/lab/src/test/java/wrenreach/lab/GroundTest.java
@@ -31,21 +31,21 @@
 
 /** One vocabulary of faults and one set of oracles, for the fleet in memory as for processes. */
 class GroundTest {
-    private static final Logger ROOT = Logger.getLogger("");
-    private static final long SECOND = 1_000_000_000;
+    private static final Logger ROOT_LOGGER = Logger.getLogger("");
+    private static final long NS_PER_SECOND = 1_000_000_000;
     @TempDir Path folder;
 
-    @BeforeAll static void quiet() {
+    @BeforeAll static void silenceLogs() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        ROOT.setLevel(Level.OFF);
+        ROOT_LOGGER.setLevel(Level.OFF);
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {"kill third at 5 for 9", "cut n0>r1 at 5 for 9", "delay n0-platform 20 5.5 at 5 for 9",
         "reset nodes-receivers 0.5 at 5 for 9", "partition n0,n1|n2,platform at 5 for 9", "ring at 5 for 9", "mute 1 at 5 for 9",
         "reordering n0-n1 0.25 40 at 5 for 9", "freeze 2 once taken n2 50 for 9", "half clients>n0 once serves n0 2 for 9"})
-    void aFaultIsReadAndWritten(String text) {
-        assertThat(FaultText.read(text, 1000)).singleElement().extracting(FaultText::write).isEqualTo(text);
+    void faultTextRoundTrips(String text) {
+        assertThat(FaultText.parse(text, 1000)).singleElement().extracting(FaultText::format).isEqualTo(text);
     }
 
     @ParameterizedTest
@@ -54,25 +54,25 @@
         "kill fourth at 5 for 9; third, half or all", "partition n0,n1 at 5 for 9; sets as n0,n1|n2",
         "kill 0 once seen n0 5 for 9; seen is not known", "kill 0 once taken n0 5 for 9 every 3; is no fault of the form",
         "rate n0-r0 0 at 5 for 9; not above 0", "cut n0-r0 at 5; is no fault of the form"})
-    void whatIsNoFaultIsToldSo(String text, String why) {
-        assertThatThrownBy(() -> FaultText.read(text, 1000)).isInstanceOf(IllegalArgumentException.class).hasMessageContaining(why);
+    void invalidFaultTextIsRejected(String text, String why) {
+        assertThatThrownBy(() -> FaultText.parse(text, 1000)).isInstanceOf(IllegalArgumentException.class).hasMessageContaining(why);
     }
 
     @Test void linksAreNamedByTheirParties() {
-        Scenario.Fault cut = FaultText.read("cut nodes>platform at 1 for 1", 10).get(0);
-        assertThat(FaultText.ways(cut, 2, 1)).containsExactly(new FaultText.OneWay("n0", "platform-n0"),
-                new FaultText.OneWay("n1", "platform-n1"));
-        Scenario.Fault apart = FaultText.read("partition n0,r0|n1,platform at 1 for 1", 10).get(0);
-        assertThat(FaultText.ways(apart, 2, 1)).contains(new FaultText.OneWay("n0", "n1"), new FaultText.OneWay("r0", "n1"),
-                new FaultText.OneWay("platform-n0", "n0")).doesNotContain(new FaultText.OneWay("n0", "r0"),
-                new FaultText.OneWay("n1", "platform-n1"));
-        assertThat(FaultText.ways(FaultText.read("ring at 1 for 1", 10).get(0), 4, 1)).hasSize(4);
-        assertThat(FaultText.ways(FaultText.read("mute 0 at 1 for 1", 10).get(0), 2, 1)).allMatch(way -> way.from().equals("n0"));
+        Scenario.Fault cut = FaultText.parse("cut nodes>platform at 1 for 1", 10).get(0);
+        assertThat(FaultText.directedLinks(cut, 2, 1)).containsExactly(new FaultText.DirectedLink("n0", "platform-n0"),
+                new FaultText.DirectedLink("n1", "platform-n1"));
+        Scenario.Fault apart = FaultText.parse("partition n0,r0|n1,platform at 1 for 1", 10).get(0);
+        assertThat(FaultText.directedLinks(apart, 2, 1)).contains(new FaultText.DirectedLink("n0", "n1"), new FaultText.DirectedLink("r0", "n1"),
+                new FaultText.DirectedLink("platform-n0", "n0")).doesNotContain(new FaultText.DirectedLink("n0", "r0"),
+                new FaultText.DirectedLink("n1", "platform-n1"));
+        assertThat(FaultText.directedLinks(FaultText.parse("ring at 1 for 1", 10).get(0), 4, 1)).hasSize(4);
+        assertThat(FaultText.directedLinks(FaultText.parse("mute 0 at 1 for 1", 10).get(0), 2, 1)).allMatch(way -> way.from().equals("n0"));
     }
 
-    @Test void datagramsInMemoryAreLostDoubledAndCutEachWayByItself() {
+    @Test void emulatedDatagramsAreImpairedPerDirection() {
         World world = new World(1);
-        WireNetwork network = (WireNetwork) world.network;
+        EmulatedNetwork network = (EmulatedNetwork) world.network;
         Network.Party a = new Network.Party("n0");
         Network.Party b = new Network.Party("n1");
         InetSocketAddress atA = new InetSocketAddress("127.7.0.1", 7946);
@@ -81,21 +81,21 @@
         mailbox(network, a, atA, heard);
         mailbox(network, b, atB, heard);
         Impairment doubling = new Impairment(Impairment.Kind.DOUBLING, 1, 0);
-        network.way("n0", "n1").begin(doubling);
+        network.direction("n0", "n1").begin(doubling);
         network.datagram(a, atA, atB, "x".getBytes());
         network.datagram(b, atB, atA, "y".getBytes());
-        world.play(2 * SECOND);
-        network.way("n0", "n1").begin(new Impairment(Impairment.Kind.CUT, 0, 0));
+        world.runUntil(2 * NS_PER_SECOND);
+        network.direction("n0", "n1").begin(new Impairment(Impairment.Kind.CUT, 0, 0));
         network.datagram(a, atA, atB, "lost".getBytes());
         b.up = false;
         network.datagram(b, atB, atA, "z".getBytes());
         network.datagram(a, atA, new InetSocketAddress("127.7.0.3", 7946), "nobody".getBytes());
-        world.play(3 * SECOND);
+        world.runUntil(3 * NS_PER_SECOND);
         assertThat(heard).containsExactlyInAnyOrder("n1 x", "n1 x", "n0 y", "n0 z");
     }
 
-    private static void mailbox(WireNetwork network, Network.Party party, InetSocketAddress at, List<String> heard) {
-        network.datagrams(at, new WireNetwork.Mailbox() {
+    private static void mailbox(EmulatedNetwork network, Network.Party party, InetSocketAddress at, List<String> heard) {
+        network.datagrams(at, new EmulatedNetwork.Mailbox() {
             @Override public Network.Party party() {
                 return party;
             }
@@ -109,26 +109,26 @@
     /** A mail that was answered with 200 is told as undelivered; whether that can be held against its node. */
     @ParameterizedTest
     @CsvSource({"nothing, true", "died, false", "closed, false", "troubled, false", "late, false", "lost, false"})
-    void anUntrueEndIsCaughtWhereTheNodeCouldKnow(String also, boolean caught) throws Exception {
-        Settings settings = Play.of(Scenario.parse(List.of("rate 1", "length 600")), DeliveryDispatcher::new).settings;
+    void untrueEndingIsReportedOnlyIfTheNodeCouldKnow(String also, boolean caught) throws Exception {
+        Settings settings = ScenarioRun.of(Scenario.parse(List.of("rate 1", "length 600")), DeliveryDispatcher::new).settings;
         Scenario day = Scenario.parse(List.of("nodes 1", "destinations 1"));
-        List<Fact> facts = new ArrayList<>(List.of(new Fact.Serves(SECOND, "n0"),
-                new Fact.HandedIn(2 * SECOND, "m0.0", "n0", 0, 0, "k", "m0", 10 * SECOND), new Fact.Answered(2 * SECOND, "m0.0", "n0", "OK")));
+        List<Fact> facts = new ArrayList<>(List.of(new Fact.Serves(NS_PER_SECOND, "n0"),
+                new Fact.HandedIn(2 * NS_PER_SECOND, "m0.0", "n0", 0, 0, "k", "m0", 10 * NS_PER_SECOND), new Fact.Answered(2 * NS_PER_SECOND, "m0.0", "n0", "OK")));
         if (also.equals("troubled")) {
-            facts.add(new Fact.Fault(2 * SECOND, "", 4 * SECOND, FaultText.read("cut n0>r0 at 1 for 2", 9).get(0)));
+            facts.add(new Fact.Fault(2 * NS_PER_SECOND, "", 4 * NS_PER_SECOND, FaultText.parse("cut n0>r0 at 1 for 2", 9).get(0)));
         }
-        facts.add(new Fact.Delivered(3 * SECOND, "m0.0", "r0"));
+        facts.add(new Fact.Delivered(3 * NS_PER_SECOND, "m0.0", "r0"));
         switch (also) {
-            case "died" -> facts.add(new Fact.Died(4 * SECOND, "n0", false));
-            case "closed" -> facts.add(new Fact.Closed(3 * SECOND + 1_000_000, "m0.0", "r0"));
-            case "late" -> facts.add(new Fact.Late(5 * SECOND, 100_000_000));
-            case "lost" -> facts.add(new Fact.StateLost(4 * SECOND, "n0"));
-            default -> facts.add(new Fact.Closed(5 * SECOND, "m0.0", "r0"));
+            case "died" -> facts.add(new Fact.Died(4 * NS_PER_SECOND, "n0", false));
+            case "closed" -> facts.add(new Fact.Closed(3 * NS_PER_SECOND + 1_000_000, "m0.0", "r0"));
+            case "late" -> facts.add(new Fact.Late(5 * NS_PER_SECOND, 100_000_000));
+            case "lost" -> facts.add(new Fact.StateLost(4 * NS_PER_SECOND, "n0"));
+            default -> facts.add(new Fact.Closed(5 * NS_PER_SECOND, "m0.0", "r0"));
         }
-        facts.add(new Fact.Noticed(5 * SECOND, "m0.0", "n0", "undeliverable"));
-        Rules.Verdict verdict = Rules.verdict(day, facts, settings, 20 * SECOND);
-        assertThat(verdict.breaks()).extracting(Rules.Break::rule).isEqualTo(caught ? List.of(Rules.Rule.UNTRUE) : List.of());
-        assertThat(verdict.unjudged()).hasSize(also.equals("late") ? 1 : 0);
+        facts.add(new Fact.Noticed(5 * NS_PER_SECOND, "m0.0", "n0", "undeliverable"));
+        Rules.Verdict verdict = Rules.verdict(day, facts, settings, 20 * NS_PER_SECOND);
+        assertThat(verdict.violations()).extracting(Rules.Violation::rule).isEqualTo(caught ? List.of(Rules.Rule.UNTRUE) : List.of());
+        assertThat(verdict.inconclusive()).hasSize(also.equals("late") ? 1 : 0);
     }
 
     /** A subsystem of the tests: it counts the mails that its node takes. */
@@ -171,18 +171,18 @@
                 """.formatted(fleet, operator)));
     }
 
-    @Test void anOperatorsFileIsSwitchedOnInMemoryForTheNodesThatHaveIt() throws Exception {
+    @Test void operatorFileAppliesInMemoryToItsNodesOnly() throws Exception {
         Experiment one = experiment("", "file = \"[probe]\\nstep = 1000\"\nnodes = [\"n1\"]");
         assertThat(one.objections(false)).isEmpty();
         Counts.taken = 0;
-        Play play = Play.of(one.at(1, 0), DeliveryDispatcher::new, one.setup(), world -> { });
+        ScenarioRun play = ScenarioRun.of(one.scenarioAt(1, 0), DeliveryDispatcher::new, one.setup(), world -> { });
         long byN1 = play.world.facts.stream().filter(fact -> fact instanceof Fact.Answered answered && answered.node().equals("n1")
                 && answered.answer().equals("OK")).count();
         assertThat(byN1).isPositive();
         assertThat(Counts.taken).isEqualTo(1000 * (int) byN1);
     }
 
-    @Test void whatMemoryCantPlayIsToldBefore() throws Exception {
+    @Test void unsupportedInMemoryExperimentIsRejected() throws Exception {
         assertThat(experiment("builds = [\"n0 = ../old\"]", "file = \"[lists]\\nmanifest = 3\"").objections(false))
                 .anyMatch(why -> why.contains("builds are played by processes only")).anyMatch(why -> why.contains("lists"));
         assertThatThrownBy(() -> experiment("builds = [\"../old\"]", "file = \"\"")).hasMessageContaining("is no build of the form");
--- a/lab/src/test/java/wrenreach/lab/LabTest.java
+++ b/lab/src/test/java/wrenreach/lab/LabTest.java
@@ -32,16 +32,16 @@
 import wrenreach.state.Mail;
 
 class LabTest {
-    private static final Logger ROOT = Logger.getLogger("");
+    private static final Logger ROOT_LOGGER = Logger.getLogger("");
     @TempDir Path folder;
 
-    @BeforeAll static void quiet() {
+    @BeforeAll static void silenceLogs() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        ROOT.setLevel(Level.OFF);
+        ROOT_LOGGER.setLevel(Level.OFF);
     }
 
     /** A module with one thing wrong: each rule's oracle has to notice two of them. */
-    enum Wrong implements Function<Settings, Dispatcher> {
+    enum DispatcherFault implements Function<Settings, Dispatcher> {
         FORGETS_A_BOUNCE(Rules.Rule.LOST), ENDS_LATE(Rules.Rule.LOST), FORGETS_THAT_IT_RAN(Rules.Rule.TWICE),
         CALLS_IT_HARMLESS(Rules.Rule.TWICE), KEEPS_THE_DRAINED(Rules.Rule.DRAIN), DEAF_TO_LISTS(Rules.Rule.DRAIN),
         DEAF_TO_WAITS(Rules.Rule.WAIT), HALVES_WAITS(Rules.Rule.WAIT), LAST_GOES_FIRST(Rules.Rule.ORDER),
@@ -49,7 +49,7 @@
 
         private final Rules.Rule rule;
 
-        Wrong(Rules.Rule rule) {
+        DispatcherFault(Rules.Rule rule) {
             this.rule = rule;
         }
 
@@ -61,12 +61,12 @@
 
                 private List<Action> twist(List<Action> answers) {
                     List<Action> twisted = new ArrayList<>(answers);
-                    if (Wrong.this == FORGETS_A_BOUNCE) {
+                    if (DispatcherFault.this == FORGETS_A_BOUNCE) {
                         twisted.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
-                    } else if (Wrong.this == ENDS_LATE) {
+                    } else if (DispatcherFault.this == ENDS_LATE) {
                         late.addAll(twisted.stream().filter(a -> a instanceof Action.Bounce || a instanceof Action.Defer).toList());
                         twisted.removeAll(late);
-                    } else if (Wrong.this == CALLS_IT_HARMLESS) {
+                    } else if (DispatcherFault.this == CALLS_IT_HARMLESS) {
                         twisted.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
                     }
                     return twisted;
@@ -74,11 +74,11 @@
 
                 @Override public List<Action> admit(Mail mail, long now) {
                     List<Action> answers = twist(sound.admit(mail, now));
-                    if (Wrong.this == GIVES_UP_WHAT_IT_FINDS && mail.recovered && !mail.finished) {
+                    if (DispatcherFault.this == GIVES_UP_WHAT_IT_FINDS && mail.recovered && !mail.finished) {
                         answers.addAll(sound.withdrawn(mail, now));
                         answers.add(new Action.Defer(mail, 0));
                     }
-                    if (Wrong.this == LAST_GOES_FIRST || Wrong.this == MIXES_KEYS && count++ % 3 == 0) {
+                    if (DispatcherFault.this == LAST_GOES_FIRST || DispatcherFault.this == MIXES_KEYS && count++ % 3 == 0) {
                         mail.orderKey.mails.remove(mail);
                         mail.orderKey.mails.addFirst(mail);
                     }
@@ -87,11 +87,11 @@
 
                 @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
                     Outcome told = outcome;
-                    if (outcome instanceof Outcome.Rejected full && Wrong.this == DEAF_TO_WAITS) {
+                    if (outcome instanceof Outcome.Rejected full && DispatcherFault.this == DEAF_TO_WAITS) {
                         told = new Outcome.Rejected(0);
-                    } else if (outcome instanceof Outcome.Rejected full && Wrong.this == HALVES_WAITS) {
+                    } else if (outcome instanceof Outcome.Rejected full && DispatcherFault.this == HALVES_WAITS) {
                         told = new Outcome.Rejected(full.retryAfter() / 3);
-                    } else if (Wrong.this == FORGETS_THAT_IT_RAN
+                    } else if (DispatcherFault.this == FORGETS_THAT_IT_RAN
                             && (outcome instanceof Outcome.TimedOut || outcome instanceof Outcome.ServerError)) {
                         told = new Outcome.NotSent(false);
                         connect.neverRan = true;
@@ -104,9 +104,9 @@
                 }
 
                 @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-                    if (Wrong.this == DEAF_TO_LISTS && count++ > 0) {
+                    if (DispatcherFault.this == DEAF_TO_LISTS && count++ > 0) {
                         return List.of();
-                    } else if (Wrong.this == KEEPS_THE_DRAINED) {
+                    } else if (DispatcherFault.this == KEEPS_THE_DRAINED) {
                         return sound.endpointsUpdated(new EndpointUpdate(listing.scope(), listing.entries().stream().map(e -> e.state()
                                 == EndpointUpdate.State.DRAINING ? new EndpointUpdate.Entry(e.endpoint(), EndpointUpdate.State.READY, e.weight()) : e)
                                 .toList()), now);
@@ -116,7 +116,7 @@
 
                 @Override public List<Action> nextActions(long now) {
                     List<Action> answers = twist(sound.nextActions(now));
-                    if (Wrong.this == ENDS_LATE && count++ % 4000 == 3999) {
+                    if (DispatcherFault.this == ENDS_LATE && count++ % 4000 == 3999) {
                         answers.addAll(late);
                         late.clear();
                     }
@@ -126,12 +126,12 @@
         }
     }
 
-    private static List<Rules.Break> breaks(Scenario scenario, Function<Settings, Dispatcher> module) {
-        return new Explore(module).breaks(scenario);
+    private static List<Rules.Violation> breaks(Scenario scenario, Function<Settings, Dispatcher> module) {
+        return new ScenarioShrinker(module).violations(scenario);
     }
 
     /** Days that strain each rule; the effect of mails follows from the seed. */
-    private static List<Scenario> strain() throws Scenario.Unreadable {
+    private static List<Scenario> strainingDays() throws Scenario.InvalidScenarioException {
         List<Scenario> days = new ArrayList<>();
         for (int seed = 1; seed <= 9; seed++) {
             days.add(Scenario.parse(List.of("seed " + seed, "nodes 1", "destinations 2", "endpoints 2", "rate 25",
@@ -144,24 +144,24 @@
         return days;
     }
 
-    @Test void theSameSeedGivesTheSameLogToTheByte() {
+    @Test void sameSeedGivesIdenticalLog() {
         for (long seed = 1; seed <= 20; seed++) {
-            Scenario scenario = Scenario.drawn(seed);
-            assertThat(Play.of(scenario, DeliveryDispatcher::new).world.print()).as("seed " + seed)
-                    .isEqualTo(Play.of(scenario, DeliveryDispatcher::new).world.print());
+            Scenario scenario = Scenario.generate(seed);
+            assertThat(ScenarioRun.of(scenario, DeliveryDispatcher::new).world.factsHash()).as("seed " + seed)
+                    .isEqualTo(ScenarioRun.of(scenario, DeliveryDispatcher::new).world.factsHash());
         }
-        assertThat(Play.of(Scenario.drawn(1), DeliveryDispatcher::new).world.print())
-                .isNotEqualTo(Play.of(Scenario.drawn(2), DeliveryDispatcher::new).world.print());
+        assertThat(ScenarioRun.of(Scenario.generate(1), DeliveryDispatcher::new).world.factsHash())
+                .isNotEqualTo(ScenarioRun.of(Scenario.generate(2), DeliveryDispatcher::new).world.factsHash());
     }
 
-    @Test void theSoundNodeKeepsTheRulesOnStrainingAndDrawnDays() throws Exception {
-        List<Scenario> days = new ArrayList<>(strain());
+    @Test void correctNodeKeepsTheRulesOnStrainingAndRandomDays() throws Exception {
+        List<Scenario> days = new ArrayList<>(strainingDays());
         for (long seed = 1; seed <= 60; seed++) {
-            days.add(Scenario.drawn(seed));
+            days.add(Scenario.generate(seed));
         }
         int delivered = 0;
         for (Scenario day : days) {
-            Play play = Play.of(day, DeliveryDispatcher::new);
+            ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
             assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
             delivered += play.world.facts.stream().filter(fact -> fact instanceof Fact.Delivered).count();
         }
@@ -170,10 +170,10 @@
 
     /** A check that never fails is no check: what is broken on purpose is caught by the rule it breaks. */
     @ParameterizedTest
-    @EnumSource(Wrong.class)
-    void eachBrokenNodeIsCaughtByItsRule(Wrong wrong) throws Exception {
+    @EnumSource(DispatcherFault.class)
+    void eachDispatcherFaultIsCaughtByItsRule(DispatcherFault wrong) throws Exception {
         List<Rules.Rule> caught = new ArrayList<>();
-        for (Scenario day : strain()) {
+        for (Scenario day : strainingDays()) {
             breaks(day, wrong).forEach(one -> caught.add(one.rule()));
         }
         assertThat(caught).contains(wrong.rule);
@@ -182,8 +182,8 @@
     /** Plain dispatchers push a returning receiver over; the module does not, on the same days. */
     @ParameterizedTest
     @ValueSource(strings = {"one try", "fixed rests"})
-    void aReturningReceiverIsPushedOverByPlainDispatchersOnly(String name) throws Exception {
-        Function<Settings, Dispatcher> plain = name.equals("one try") ? Baseline::oneTry : Baseline::fixedRests;
+    void onlyPlainDispatchersOverloadAReturningReceiver(String name) throws Exception {
+        Function<Settings, Dispatcher> plain = name.equals("one try") ? Baseline::singleAttempt : Baseline::fixedDelayRetries;
         int caught = 0;
         for (int seed = 1; seed <= 3; seed++) {
             Scenario day = Scenario.parse(List.of("seed " + seed, "nodes 2", "rate 190", "length 10000", "fault down 0 at 2000 for 2500"));
@@ -196,14 +196,14 @@
     /** Guards what is owed: killed at every write of a small day, in the middle of it and just after, nothing is lost. */
     @ParameterizedTest
     @CsvSource({"WRITTEN, 1", "TORN, 1", "WRITTEN, 2", "TORN, 2"})
-    void aKillAtAnyWriteLosesAndDoublesNothing(LabNode.Moment moment, int ledger) throws Exception {
+    void killAtAnyWriteLosesAndDuplicatesNothing(InMemoryNode.KillMoment moment, int ledger) throws Exception {
         Scenario day = Scenario.parse(List.of("seed 4", "ledger " + ledger, "rate 6", "length 2500", "fault erring 0 at 800 for 900"));
         int killed = 0;
         for (int write = 1; write <= 60; write++) {
             int at = write;
-            Play play = Play.of(day, DeliveryDispatcher::new, world -> {
-                LabNode node = (LabNode) world.nodes.get(0);
-                node.killAtWrite(at, moment, () -> world.later(600_000_000, node::start));
+            ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new, world -> {
+                InMemoryNode node = (InMemoryNode) world.nodes.get(0);
+                node.killAtWrite(at, moment, () -> world.scheduleIn(600_000_000, node::start));
             });
             assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as("killed at write " + write).isEmpty();
             killed += play.world.facts.stream().anyMatch(fact -> fact instanceof Fact.Died) ? 1 : 0;
@@ -218,13 +218,13 @@
         "VANISH, Back, Delivered", "FULL, ToldWait, Delivered", "DRAIN, ToldDrain, Delivered", "RELOAD, Fault, Delivered",
         "CUT_PLATFORM, Fault, Delivered", "CUT_RECEIVER, Fault, Delivered", "CUT_CLIENTS, Fault, Delivered",
         "SILENT, Fault, Delivered", "SLOW, Fault, Delivered", "ERRING, Fault, Delivered"})
-    void eachFaultHappensAndIsGotOver(Scenario.Kind kind, String mark, String after) throws Exception {
+    void eachFaultHappensAndTheNodeRecovers(Scenario.Kind kind, String mark, String after) throws Exception {
         for (int seed = 1; seed <= 3; seed++) {
             Scenario day = Scenario.parse(List.of("seed " + seed, "nodes 2", "zones 2", "endpoints 2", "rate 30", "length 6000",
                     "fault " + kind + " 0 at 2000 for 1500"));
-            Play play = Play.of(day, DeliveryDispatcher::new);
+            ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
             assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
-            assertThat(play.world.facts.stream().filter(one -> one.at() >= World.BEGIN + 2000 * Play.MS)
+            assertThat(play.world.facts.stream().filter(one -> one.at() >= World.START_NS + 2000 * ScenarioRun.NS_PER_MS)
                     .map(one -> one.getClass().getSimpleName()).dropWhile(name -> !name.equals(mark)))
                     .as(day.text()).contains(mark, after);
         }
@@ -236,18 +236,18 @@
      */
     @ParameterizedTest
     @CsvSource({"30, 1, false", "30, 2, false", "30, 3, false", "300, 1, false", "30, 1, true", "30, 2, true", "30, 3, true"})
-    void aFullDiskTurnsAwayWhatIsNew(int rate, int seed, boolean killed) throws Exception {
+    void fullDiskRejectsNewMails(int rate, int seed, boolean killed) throws Exception {
         List<String> text = new ArrayList<>(List.of("seed " + seed, "endpoints 2", "rate " + rate, "length 6000",
                 "fault down 0 at 500 for 1600", "fault disk_full 0 at 2000 for 1500"));
         if (killed) {
             text.add("fault kill 0 at 2600 for 300");
         }
         Scenario day = Scenario.parse(text);
-        Play play = Play.of(day, DeliveryDispatcher::new);
+        ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
         assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
         assertThat(play.world.facts.stream().filter(Fact.Died.class::isInstance)).as(day.text()).hasSize(killed ? 1 : 0);
-        long full = World.BEGIN + 2000 * Play.MS;
-        long free = full + 1500 * Play.MS;
+        long full = World.START_NS + 2000 * ScenarioRun.NS_PER_MS;
+        long free = full + 1500 * ScenarioRun.NS_PER_MS;
         assertThat(play.world.facts).as(day.text())
                 .anyMatch(fact -> fact instanceof Fact.Answered a && a.at() > full && a.at() <= free && a.answer().equals("BUSY"))
                 .anyMatch(fact -> fact instanceof Fact.Called called && called.at() > full && called.at() <= free)
@@ -264,30 +264,30 @@
      * Discovery, and who hears of ends, are gone for an hour, in the middle of which the node starts anew: mails go on by the list
      * as last heard, and what has begun to drain meanwhile is heeded within 6 s of their return.
      */
-    @Test void discoveryMayBeGoneForAnHour() throws Exception {
+    @Test void discoveryOutageOfAnHourIsSurvived() throws Exception {
         int hour = 3_600_000;
         Scenario day = Scenario.parse(List.of("seed 5", "endpoints 3", "zones 1", "rate 1", "length " + (hour + 100_000),
                 "fault cut_platform 0 at 10000 for " + hour, "fault kill 0 at " + hour / 2 + " for 1000",
                 "fault drain 1 at " + (hour - 60_000) + " for 20000"));
-        Play play = Play.of(day, DeliveryDispatcher::new);
+        ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
         assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
         for (int minute = 1; minute <= 60; minute++) {
-            long from = World.BEGIN + minute * 60_000 * Play.MS;
+            long from = World.START_NS + minute * 60_000 * ScenarioRun.NS_PER_MS;
             assertThat(play.world.facts).as("minute " + minute).anyMatch(fact -> fact instanceof Fact.Delivered
-                    && fact.at() >= from && fact.at() < from + 60_000 * Play.MS);
+                    && fact.at() >= from && fact.at() < from + 60_000 * ScenarioRun.NS_PER_MS);
         }
         String drained = play.world.facts.stream().filter(Fact.ToldDrain.class::isInstance).map(f -> ((Fact.ToldDrain) f).receiver())
                 .findFirst().orElseThrow();
-        long begun = World.BEGIN + (hour - 60_000) * Play.MS;
-        long back = World.BEGIN + (hour + 10_000) * Play.MS;
+        long begun = World.START_NS + (hour - 60_000) * ScenarioRun.NS_PER_MS;
+        long back = World.START_NS + (hour + 10_000) * ScenarioRun.NS_PER_MS;
         assertThat(play.world.facts).as("unheard of").anyMatch(fact -> fact instanceof Fact.Called called && called.at() > begun
                 && called.at() < back && called.receiver().equals(drained));
-        assertThat(play.world.facts).noneMatch(fact -> fact instanceof Fact.Called called && called.at() > back + 6000 * Play.MS
+        assertThat(play.world.facts).noneMatch(fact -> fact instanceof Fact.Called called && called.at() > back + 6000 * ScenarioRun.NS_PER_MS
                 && called.receiver().equals(drained));
     }
 
     /** Days that broke a rule once: what was found stays found. */
-    @Test void keptDaysStayMended() throws Exception {
+    @Test void formerlyFailingDaysKeepTheRules() throws Exception {
         try (var files = Files.list(Path.of("lab/days"))) {
             List<Path> days = files.filter(file -> file.toString().endsWith(".day")).sorted().toList();
             assertThat(days).isNotEmpty();
@@ -297,12 +297,12 @@
         }
     }
 
-    @Test void aBreakIsCutDownKeptAndPlayedAgain() throws Exception {
-        Scenario day = strain().get(0);
-        Explore explore = new Explore(Wrong.DEAF_TO_WAITS);
+    @Test void violationIsMinimizedKeptAndReplayed() throws Exception {
+        Scenario day = strainingDays().get(0);
+        ScenarioShrinker explore = new ScenarioShrinker(DispatcherFault.DEAF_TO_WAITS);
         Scenario least = explore.shrink(day, Rules.Rule.WAIT);
         assertThat(least.faults()).extracting(Scenario.Fault::kind).containsExactly(Scenario.Kind.FULL);
-        assertThat(explore.breaks(Scenario.parse(least.text().lines().toList()))).extracting(Rules.Break::rule)
+        assertThat(explore.violations(Scenario.parse(least.text().lines().toList()))).extracting(Rules.Violation::rule)
                 .contains(Rules.Rule.WAIT);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
--- a/lab/src/test/java/wrenreach/lab/ToldTest.java
+++ b/lab/src/test/java/wrenreach/lab/ToldTest.java
@@ -35,19 +35,19 @@
  */
 class ToldTest {
     /** How a call fails. */
-    enum Way { REFUSED, NO_CONNECTION, MUTE, BAD_REQUEST, ABSENT, FAULT, SILENCE, HALF, SPOILT, BACK }
+    enum DiscoveryFailure { REFUSED, NO_CONNECTION, NO_RESPONSE, BAD_REQUEST, NOT_FOUND, SERVICE_UNAVAILABLE, HEADERS_ONLY, PARTIAL_BODY, MALFORMED_BODY, OLDER_INDEX }
 
     /** What comes between, right before discovery works. */
-    enum Between { NOTHING, MOVE, RESTART }
+    enum Interruption { NOTHING, MOVE, RESTART }
 
     private static final long MS = 1_000_000, SECOND = 1000 * MS;
     /** A change counts as told after 6 s; most of a second is left for a node that is short of its core. */
-    private static final long IN_TIME = 5200 * MS;
-    private static final long STRETCH = SECOND, LAST_STRETCH = 9 * SECOND, STEP = 370 * MS;
-    private static final int PHASES = 15, KNOWN = 7;
-    private static final int AGENT = 7001, MOVED = 7003;
+    private static final long MAX_DRAIN_DELAY = 5200 * MS;
+    private static final long FAILURE_TIME = SECOND, LAST_FAILURE_TIME = 9 * SECOND, PHASE_STEP = 370 * MS;
+    private static final int PHASE_COUNT = 15, KNOWN_INDEX = 7;
+    private static final int AGENT_PORT = 7001, MOVED_AGENT_PORT = 7003;
 
-    @BeforeAll static void quiet() {
+    @BeforeAll static void disableLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Logger.getLogger("").setLevel(Level.OFF);
     }
@@ -58,8 +58,8 @@
         private final World world;
         private final Network.Party party;
         private final InetSocketAddress address;
-        private Way failing;
-        private boolean drained;
+        private DiscoveryFailure failure;
+        private boolean endpointDraining;
 
         Agent(World world, InetSocketAddress address) {
             this.world = world;
@@ -68,18 +68,18 @@
             world.network.listen(address, this);
         }
 
-        void fail(Way way) {
+        void setFailure(DiscoveryFailure way) {
             world.network.unlisten(address, this);
-            if (failing == Way.NO_CONNECTION) {
-                world.network.way("n0", party.name).end(CUT);
+            if (failure == DiscoveryFailure.NO_CONNECTION) {
+                world.network.direction("n0", party.name).end(CUT);
             }
-            if (way == Way.NO_CONNECTION) {
-                world.network.way("n0", party.name).begin(CUT);
+            if (way == DiscoveryFailure.NO_CONNECTION) {
+                world.network.direction("n0", party.name).begin(CUT);
             }
-            if (way != Way.REFUSED) {
+            if (way != DiscoveryFailure.REFUSED) {
                 world.network.listen(address, this);
             }
-            failing = way;
+            failure = way;
         }
 
         @Override public Network.Party party() {
@@ -88,21 +88,21 @@
 
         private String list(int index) {
             return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"10.0.0.1:80\",\"zone\":\"z0\","
-                    + "\"type\":\"small\",\"group\":0,\"status\":\"" + (drained ? "DRAINING" : "SERVING") + "\",\"weight\":100}]}";
+                    + "\"type\":\"small\",\"group\":0,\"status\":\"" + (endpointDraining ? "DRAINING" : "SERVING") + "\",\"weight\":100}]}";
         }
 
         @Override public Network.End accepted(Network.Link link, InetSocketAddress from) {
-            return new HttpPeer(link) {
-                @Override void begins(String head) { }
+            return new HttpConnection(link) {
+                @Override void requestBegins(String head) { }
 
                 private void chunk(String text) {
                     write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
                 }
 
                 private void beat() {
-                    if (!over) {
+                    if (!closed) {
                         chunk("\n");
-                        world.later(2 * SECOND, this::beat);
+                        world.scheduleIn(2 * SECOND, this::beat);
                     }
                 }
 
@@ -117,22 +117,22 @@
                     }
                 }
 
-                @Override void asked(Request request) {
+                @Override void requestReceived(Request request) {
                     boolean watch = request.path().contains("stream=1");
-                    String good = list(drained ? KNOWN + 1 : KNOWN);
-                    if (failing == null) {
+                    String good = list(endpointDraining ? KNOWN_INDEX + 1 : KNOWN_INDEX);
+                    if (failure == null) {
                         say(watch, good);
                         if (watch) {
                             beat();
                         }
                         return;
                     }
-                    switch (failing) {
-                        case BAD_REQUEST -> answer("400 Bad Request");
-                        case ABSENT -> answer("404 Not Found");
-                        case FAULT -> answer("503 Service Unavailable");
-                        case SILENCE -> write("HTTP/1.1 200 OK\r\n" + (watch ? "Transfer-Encoding: chunked" : "Content-Length: 99") + "\r\n\r\n");
-                        case HALF -> {
+                    switch (failure) {
+                        case BAD_REQUEST -> respondWithoutBody("400 Bad Request");
+                        case NOT_FOUND -> respondWithoutBody("404 Not Found");
+                        case SERVICE_UNAVAILABLE -> respondWithoutBody("503 Service Unavailable");
+                        case HEADERS_ONLY -> write("HTTP/1.1 200 OK\r\n" + (watch ? "Transfer-Encoding: chunked" : "Content-Length: 99") + "\r\n\r\n");
+                        case PARTIAL_BODY -> {
                             write("HTTP/1.1 200 OK\r\n" + (watch ? "Transfer-Encoding: chunked" : "Content-Length: " + good.length()) + "\r\n\r\n");
                             if (watch) {
                                 chunk(good.substring(0, good.length() / 2));
@@ -140,8 +140,8 @@
                                 write(good.substring(0, good.length() / 2));
                             }
                         }
-                        case SPOILT -> say(watch, "{\"index\":nonsense");
-                        case BACK -> say(watch, list(KNOWN - 1));
+                        case MALFORMED_BODY -> say(watch, "{\"index\":nonsense");
+                        case OLDER_INDEX -> say(watch, list(KNOWN_INDEX - 1));
                         default -> { } // MUTE: nothing is said.
                     }
                 }
@@ -150,98 +150,98 @@
     }
 
     /** The module, and when it was first told that the endpoint drains. */
-    private static final class Heeding implements Dispatcher {
-        private final DeliveryDispatcher sound;
-        private final Runnable heeded;
+    private static final class DrainObserver implements Dispatcher {
+        private final DeliveryDispatcher delegate;
+        private final Runnable onDrain;
 
-        Heeding(Settings settings, Runnable heeded) {
-            sound = new DeliveryDispatcher(settings);
-            this.heeded = heeded;
+        DrainObserver(Settings settings, Runnable heeded) {
+            delegate = new DeliveryDispatcher(settings);
+            this.onDrain = heeded;
         }
 
         @Override public List<Action> admit(Mail mail, long now) {
-            return sound.admit(mail, now);
+            return delegate.admit(mail, now);
         }
 
         @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-            return sound.attemptEnded(connect, outcome, report, done, now);
+            return delegate.attemptEnded(connect, outcome, report, done, now);
         }
 
         @Override public List<Action> withdrawn(Mail mail, long now) {
-            return sound.withdrawn(mail, now);
+            return delegate.withdrawn(mail, now);
         }
 
         @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
             if (listing.entries().stream().anyMatch(entry -> entry.state() == EndpointUpdate.State.DRAINING)) {
-                heeded.run();
+                onDrain.run();
             }
-            return sound.endpointsUpdated(listing, now);
+            return delegate.endpointsUpdated(listing, now);
         }
 
         @Override public List<Action> nextActions(long now) {
-            return sound.nextActions(now);
+            return delegate.nextActions(now);
         }
     }
 
     /** From the instant at which discovery works to the drain being heeded; the last way to fail is met at this phase. */
-    private static long worst(Way last, boolean pushed, Between between, long phase, long seed) throws IOException {
+    private static long drainDelay(DiscoveryFailure last, boolean pushed, Interruption between, long phase, long seed) throws IOException {
         World world = new World(seed);
-        InetSocketAddress at = new InetSocketAddress("10.0.0.9", AGENT);
-        InetSocketAddress movedTo = new InetSocketAddress("10.0.0.9", MOVED);
+        InetSocketAddress at = new InetSocketAddress("10.0.0.9", AGENT_PORT);
+        InetSocketAddress movedTo = new InetSocketAddress("10.0.0.9", MOVED_AGENT_PORT);
         Agent agent = new Agent(world, at);
         String json = Files.readString(Path.of("deploy/sample.json")).replaceAll("(?s)\"known\": \\{.*?\\]\\},", "\"known\":"
-                + agent.list(KNOWN) + ",")
-                .replace("127.0.0.1:0", "10.0.0.8:6379").replace("\"discovery\": \"127.0.0.1:9\"", "\"discovery\":\"10.0.0.9:" + AGENT + "\"")
+                + agent.list(KNOWN_INDEX) + ",")
+                .replace("127.0.0.1:0", "10.0.0.8:6379").replace("\"discovery\": \"127.0.0.1:9\"", "\"discovery\":\"10.0.0.9:" + AGENT_PORT + "\"")
                 .replace("\"Discovery\": \"push\"", pushed ? "\"Discovery\": \"push\"" : "\"Discovery\": \"ask\"")
                 .replace("\"DrainGrace\": 1", "\"DrainGrace\": 1, \"MustAskIn\": 2");
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
         assertThat(config.settings().listOnRequest()).isNotEqualTo(pushed);
         long[] heeded = {Long.MAX_VALUE};
-        LabNode node = new LabNode(world, "n0", config, json, 0, false,
-                settings -> new Heeding(settings, () -> heeded[0] = Math.min(heeded[0], world.now())), OperatorFile.none());
+        InMemoryNode node = new InMemoryNode(world, "n0", config, json, 0, false,
+                settings -> new DrainObserver(settings, () -> heeded[0] = Math.min(heeded[0], world.now())), OperatorFile.none());
         node.start();
-        world.play(world.now() + SECOND);
-        List<Way> ways = new ArrayList<>(List.of(Way.values()));
+        world.runUntil(world.now() + SECOND);
+        List<DiscoveryFailure> ways = new ArrayList<>(List.of(DiscoveryFailure.values()));
         for (int i = ways.size(); i > 1; i--) {
-            ways.add(ways.remove(world.below(i)));
+            ways.add(ways.remove(world.nextIntBelow(i)));
         }
-        for (Way way : ways) {
-            agent.fail(way);
+        for (DiscoveryFailure way : ways) {
+            agent.setFailure(way);
             if (way == ways.get(0)) {
                 world.network.reset("n0", agent.party.name); // The watch that was open breaks.
             }
-            world.play(world.now() + STRETCH);
+            world.runUntil(world.now() + FAILURE_TIME);
         }
-        agent.fail(last);
-        world.play(world.now() + LAST_STRETCH + phase);
+        agent.setFailure(last);
+        world.runUntil(world.now() + LAST_FAILURE_TIME + phase);
         Agent works = agent;
-        if (between == Between.MOVE) {
+        if (between == Interruption.MOVE) {
             works = new Agent(world, movedTo);
-            works.fail(last);
-            node.reload(MOVED);
-            world.play(world.now() + LAST_STRETCH);
-        } else if (between == Between.RESTART) {
+            works.setFailure(last);
+            node.reload(MOVED_AGENT_PORT);
+            world.runUntil(world.now() + LAST_FAILURE_TIME);
+        } else if (between == Interruption.RESTART) {
             node.kill();
-            world.play(world.now() + SECOND);
+            world.runUntil(world.now() + SECOND);
             node.start();
-            world.play(world.now() + LAST_STRETCH);
+            world.runUntil(world.now() + LAST_FAILURE_TIME);
         }
         long from = world.now();
-        works.drained = true;
-        works.fail(null);
-        world.play(from + 20 * SECOND);
+        works.endpointDraining = true;
+        works.setFailure(null);
+        world.runUntil(from + 20 * SECOND);
         return heeded[0] == Long.MAX_VALUE ? Long.MAX_VALUE : heeded[0] - from;
     }
 
-    private static void inTime(Way last, boolean pushed) throws IOException {
+    private static void assertDrainInTime(DiscoveryFailure last, boolean pushed) throws IOException {
         List<String> late = new ArrayList<>();
         long most = 0;
-        for (Between between : Between.values()) {
-            for (int i = 0; i < PHASES; i++) {
-                long took = worst(last, pushed, between, i * STEP, 31 * i + last.ordinal());
+        for (Interruption between : Interruption.values()) {
+            for (int i = 0; i < PHASE_COUNT; i++) {
+                long took = drainDelay(last, pushed, between, i * PHASE_STEP, 31 * i + last.ordinal());
                 most = Math.max(most, took);
-                if (took >= IN_TIME) {
-                    late.add(between + " at " + i * STEP / MS + " ms: " + took / MS + " ms");
+                if (took >= MAX_DRAIN_DELAY) {
+                    late.add(between + " at " + i * PHASE_STEP / MS + " ms: " + took / MS + " ms");
                 }
             }
         }
@@ -250,14 +250,14 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void whereListsArePushed(Way last) throws IOException {
-        inTime(last, true);
+    @EnumSource(DiscoveryFailure.class)
+    void followsDrainWhenListsArePushed(DiscoveryFailure last) throws IOException {
+        assertDrainInTime(last, true);
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void whereListsAreAskedFor(Way last) throws IOException {
-        inTime(last, false);
+    @EnumSource(DiscoveryFailure.class)
+    void followsDrainWhenListsArePolled(DiscoveryFailure last) throws IOException {
+        assertDrainInTime(last, false);
     }
 }
--- a/stories/src/test/java/wrenreach/stories/Steps.java
+++ b/stories/src/test/java/wrenreach/stories/Steps.java
@@ -18,10 +18,10 @@
 /** The words of the stories. A day is played when the first of its outcomes is asked for, three times with other chances. */
 public class Steps {
     private static final int SEEDS = 3;
-    private static final Logger ROOT = Logger.getLogger("");
+    private static final Logger ROOT_LOGGER = Logger.getLogger("");
 
     /** How a story says a fault, and the fault as experiments have it. */
-    private enum Saying {
+    private enum FaultPhrase {
         KILLED("(node \\d+|a third of the nodes|half of the nodes|every node) (?:is|are) killed", "kill $1"),
         TORN("node (\\d+) is killed in the middle of a write", "kill_torn $1"),
         WRITTEN("node (\\d+) is killed right after a write", "kill_written $1"),
@@ -57,17 +57,17 @@
         ERRING("receiver (\\d+) errs", "erring $1"),
         DRAINED("receiver (\\d+) is drained and replaced", "drain $1");
 
-        private final Pattern says;
+        private final Pattern phrase;
         private final String fault;
 
-        Saying(String says, String fault) {
-            this.says = Pattern.compile(says);
+        FaultPhrase(String says, String fault) {
+            this.phrase = Pattern.compile(says);
             this.fault = fault;
         }
 
         static String fault(String text) {
-            for (Saying saying : values()) {
-                Matcher matcher = saying.says.matcher(text);
+            for (FaultPhrase saying : values()) {
+                Matcher matcher = saying.phrase.matcher(text);
                 if (matcher.matches()) {
                     return matcher.replaceFirst(saying.fault).replace("a third of the nodes", "third").replace("half of the nodes", "half")
                             .replaceAll("every (node|receiver)", "all").replaceAll("\\b(node|receiver) (\\d+)", "$2");
@@ -80,9 +80,9 @@
     private final Story story = new Story().nodes(3, 1).receivers(2, 2).traffic(40, 8000);
     private boolean played;
 
-    @BeforeAll public static void quiet() {
+    @BeforeAll public static void silenceLogs() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        ROOT.setLevel(Level.OFF);
+        ROOT_LOGGER.setLevel(Level.OFF);
     }
 
     @Given("a fleet of {int} node(s)")
@@ -124,22 +124,22 @@
 
     @When("at {double} s, for {double} s, {}")
     public void fault(double at, double length, String what) {
-        story.fault(Saying.fault(what) + " at " + ms(at) + " for " + ms(length));
+        story.fault(FaultPhrase.fault(what) + " at " + ms(at) + " for " + ms(length));
     }
 
     @When("every {double} s, for {double} s, {}, then the next")
     public void faultEach(double every, double length, String what) {
-        story.fault(Saying.fault(what) + " at " + ms(every) + " for " + ms(length) + " every " + ms(every));
+        story.fault(FaultPhrase.fault(what) + " at " + ms(every) + " for " + ms(length) + " every " + ms(every));
     }
 
     @When("once node {int} has taken {int} mails, for {double} s, {}")
     public void onceTaken(int node, int count, double length, String what) {
-        story.fault(Saying.fault(what) + " once taken n" + node + " " + count + " for " + ms(length));
+        story.fault(FaultPhrase.fault(what) + " once taken n" + node + " " + count + " for " + ms(length));
     }
 
     @When("once node {int} serves for the {int}. time, for {double} s, {}")
     public void onceServes(int node, int times, double length, String what) {
-        story.fault(Saying.fault(what) + " once serves n" + node + " " + times + " for " + ms(length));
+        story.fault(FaultPhrase.fault(what) + " once serves n" + node + " " + times + " for " + ms(length));
     }
 
     private static int ms(double seconds) {
