--- a/app/src/main/java/wrenreach/app/Launch.java
+++ b/app/src/main/java/wrenreach/app/Launch.java
@@ -19,8 +19,8 @@
  */
 public final class Launch {
     /** A class of the parts: where it can be seen, so can they all. */
-    private static final String OF_PARTS = "com/fasterxml/jackson/dataformat/toml/TomlMapper.class";
-    private static final String MAIN = "wrenreach.app.Main", RUN = "run";
+    private static final String PARTS_MARKER_CLASS = "com/fasterxml/jackson/dataformat/toml/TomlMapper.class";
+    private static final String MAIN_CLASS = "wrenreach.app.Main", RUN_METHOD = "run";
 
     private Launch() { }
 
@@ -29,13 +29,13 @@
     }
 
     private static int run(String[] args) {
-        if (!Main.needsParts(args, System.getenv()) || Launch.class.getClassLoader().getResource(OF_PARTS) != null) {
+        if (!Main.needsParts(args, System.getenv()) || Launch.class.getClassLoader().getResource(PARTS_MARKER_CLASS) != null) {
             return Main.run(args, System.getenv());
         }
         try {
             URLClassLoader all = new URLClassLoader("wrenreach", jars(), ClassLoader.getPlatformClassLoader());
             Thread.currentThread().setContextClassLoader(all);
-            return (int) all.loadClass(MAIN).getMethod(RUN, String[].class).invoke(null, (Object) args);
+            return (int) all.loadClass(MAIN_CLASS).getMethod(RUN_METHOD, String[].class).invoke(null, (Object) args);
         } catch (IOException | URISyntaxException e) {
             System.err.println("wrenreach: the folder parts beside the jar can't be used: " + e.getMessage());
             return 2;
--- a/app/src/main/java/wrenreach/app/Main.java
+++ b/app/src/main/java/wrenreach/app/Main.java
@@ -35,7 +35,7 @@
               version   prints the version
               help      prints this page
             """;
-    private static final Set<String> OWN = Set.of("serve", "rehearse", "held", "wirehost", "version", "help");
+    private static final Set<String> BUILT_IN_COMMANDS = Set.of("serve", "rehearse", "held", "wirehost", "version", "help");
 
     private Main() { }
 
@@ -45,7 +45,7 @@
         for (String word : args) {
             own |= word.startsWith("--operator");
         }
-        return args.length > 0 && (!OWN.contains(args[0]) || args[0].equals("help") || args[0].equals("serve") && own);
+        return args.length > 0 && (!BUILT_IN_COMMANDS.contains(args[0]) || args[0].equals("help") || args[0].equals("serve") && own);
     }
 
     /** Runs a command line with the process's environment; the exit code. */
@@ -58,8 +58,8 @@
         System.getProperties().putIfAbsent("java.util.logging.SimpleFormatter.format",
                 "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        if (!OWN.contains(command)) {
-            for (Command brought : commands()) {
+        if (!BUILT_IN_COMMANDS.contains(command)) {
+            for (Command brought : addedCommands()) {
                 if (brought.name().equals(command)) {
                     return brought.run(List.of(args).subList(1, args.length), System.out, System.err);
                 }
@@ -83,18 +83,18 @@
             switch (command) {
                 case "serve":
                     String own = line.getOptionValue("operator", environment.get("WRENREACH_OPERATOR"));
-                    return new Serve(path(line, "config", environment), own == null || own.isEmpty() ? null
+                    return new Serve(pathOption(line, "config", environment), own == null || own.isEmpty() ? null
                             : Path.of(own), environment, System.err)
-                            .run(path(line, "state", environment), line.hasOption("check"));
+                            .run(pathOption(line, "state", environment), line.hasOption("check"));
                 case "rehearse":
-                    Path state = path(line, "state", environment);
-                    Path file = path(line, "config", environment);
+                    Path state = pathOption(line, "state", environment);
+                    Path file = pathOption(line, "config", environment);
                     // A start as the platform makes it, so that the archive knows its classes too; then the mails.
                     int started = new Serve(file, null, environment, System.err).run(state.resolve("start"), true);
                     return started != 0 ? started
                             : Rehearsal.run(Config.read(file, environment), state.resolve("mails"));
                 case "held":
-                    return held(path(line, "state", environment));
+                    return printHeld(pathOption(line, "state", environment));
                 case "wirehost":
                     return new WireHost(System.in, System.out, System.err, DeliveryDispatcher::new).run();
                 case "version":
@@ -103,7 +103,7 @@
                     return 0;
                 case "help":
                     System.out.print(USAGE);
-                    commands().forEach(brought -> brought.usage().forEach(use -> System.out.println("  " + use)));
+                    addedCommands().forEach(brought -> brought.usage().forEach(use -> System.out.println("  " + use)));
                     return 0;
                 default:
                     throw new ParseException("unknown command " + command);
@@ -121,14 +121,14 @@
         }
     }
 
-    private static List<Command> commands() {
+    private static List<Command> addedCommands() {
         List<Command> all = new ArrayList<>();
         all.add(new OperatorCommand());
         all.addAll(Parts.commands());
         return all;
     }
 
-    private static Path path(CommandLine line, String option, Map<String, String> environment) throws ParseException {
+    private static Path pathOption(CommandLine line, String option, Map<String, String> environment) throws ParseException {
         String variable = "GW_" + option.toUpperCase(Locale.ROOT);
         String value = line.getOptionValue(option, environment.get(variable));
         if (value == null || value.isEmpty()) {
@@ -137,7 +137,7 @@
         return Path.of(value);
     }
 
-    private static int held(Path state) {
+    private static int printHeld(Path state) {
         if (!Files.isDirectory(state)) {
             System.err.println("wrenreach: state folder " + state + " is not there");
             return 1;
--- a/app/src/main/java/wrenreach/app/Rehearsal.java
+++ b/app/src/main/java/wrenreach/app/Rehearsal.java
@@ -27,39 +27,39 @@
  * in service. Guards the first seconds of a life: loading those classes then held answers up by half a second.
  */
 final class Rehearsal {
-    private static final int MAILS = 60;
-    private static final long WAIT_S = 5;
+    private static final int MAIL_COUNT = 60;
+    private static final long TIMEOUT_S = 5;
 
-    private final AtomicInteger calls = new AtomicInteger();
-    private final AtomicInteger notices = new AtomicInteger();
-    private final HttpServer outside;
+    private final AtomicInteger callCount = new AtomicInteger();
+    private final AtomicInteger noticeCount = new AtomicInteger();
+    private final HttpServer outsideServer;
 
     private Rehearsal() throws IOException {
-        outside = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+        outsideServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     }
 
     /** The exit code: 0 where the mails were taken and some relayed and ended by a notice. */
     static int run(Config config, Path state) throws IOException, InterruptedException {
-        return new Rehearsal().play(config, Files.createDirectories(state));
+        return new Rehearsal().sendMails(config, Files.createDirectories(state));
     }
 
-    private int play(Config config, Path state) throws IOException, InterruptedException {
-        outside.createContext("/events", exchange -> {
-            int call = calls.getAndIncrement();
+    private int sendMails(Config config, Path state) throws IOException, InterruptedException {
+        outsideServer.createContext("/events", exchange -> {
+            int call = callCount.getAndIncrement();
             int[] statuses = {200, 200, 200, 429, 200, 500, 503};
             exchange.getResponseHeaders().set("Wait-Ms", "20");
             exchange.getResponseHeaders().set("X-Load-Report", "x0=0.9,x1=500");
             // In the end it is full for good, so that some mails end by a notice.
-            answer(exchange, call < MAILS ? statuses[call % statuses.length] : 503, "ok");
+            respond(exchange, call < MAIL_COUNT ? statuses[call % statuses.length] : 503, "ok");
         });
-        outside.createContext("/v2/finals", exchange -> {
-            notices.incrementAndGet();
+        outsideServer.createContext("/v2/finals", exchange -> {
+            noticeCount.incrementAndGet();
             exchange.getRequestBody().readAllBytes();
             exchange.sendResponseHeaders(204, -1);
             exchange.close();
         });
-        String address = Addresses.format(outside.getAddress());
-        outside.createContext("/api/targets", exchange -> {
+        String address = Addresses.format(outsideServer.getAddress());
+        outsideServer.createContext("/api/targets", exchange -> {
             // A watch stays open.
             exchange.sendResponseHeaders(200, 0);
             exchange.getResponseBody().write(("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"receiver-1\","
@@ -67,39 +67,39 @@
                     .getBytes(StandardCharsets.US_ASCII));
             exchange.getResponseBody().flush();
         });
-        outside.start();
+        outsideServer.start();
         EndpointTable known = config.known().newEmpty();
         known.apply(new ListUpdate(0, true, List.of(new ListUpdate.Entry("receiver-1", address, "", "", 1, "SERVING", 500))));
-        DeliveryNode node = new DeliveryNode(new Config(config.name(), config.listen(), outside.getAddress(),
+        DeliveryNode node = new DeliveryNode(new Config(config.name(), config.listen(), outsideServer.getAddress(),
                 config.descriptors(), config.memoryBytes(), config.diskBytes(),
                 known,
                 config.settings(), config.queueClasses(), config.tenants(), config.kinds(), config.zones(),
                 config.reportNames()), Journal.open(state, config.diskBytes()), DeliveryDispatcher::new);
         node.start();
         try {
-            InetSocketAddress door = node.serving().get(WAIT_S, TimeUnit.SECONDS);
+            InetSocketAddress door = node.serving().get(TIMEOUT_S, TimeUnit.SECONDS);
             int taken = 0;
-            for (int i = 0; i < MAILS; i++) {
-                taken += ask(door, "m" + i, config, 2500).startsWith("+OK") ? 1 : 0;
+            for (int i = 0; i < MAIL_COUNT; i++) {
+                taken += submit(door, "m" + i, config, 2500).startsWith("+OK") ? 1 : 0;
             }
-            ask(door, "", config, 1);
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
-            while ((calls.get() < MAILS || notices.get() == 0) && System.nanoTime() < until) {
+            submit(door, "", config, 1);
+            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+            while ((callCount.get() < MAIL_COUNT || noticeCount.get() == 0) && System.nanoTime() < until) {
                 Thread.sleep(10);
             }
             node.stop();
-            int code = node.stopped().get(WAIT_S, TimeUnit.SECONDS);
-            System.out.println(taken + " mails taken, " + calls.get() + " calls, " + notices.get() + " posts of notices");
-            return code == 0 && taken > 0 && calls.get() > 0 && notices.get() > 0 ? 0 : 1;
+            int code = node.stopped().get(TIMEOUT_S, TimeUnit.SECONDS);
+            System.out.println(taken + " mails taken, " + callCount.get() + " calls, " + noticeCount.get() + " posts of notices");
+            return code == 0 && taken > 0 && callCount.get() > 0 && noticeCount.get() > 0 ? 0 : 1;
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("wrenreach: rehearsal: " + e);
             return 1;
         } finally {
-            outside.stop(0);
+            outsideServer.stop(0);
         }
     }
 
-    private static void answer(HttpExchange exchange, int status, String body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String body) throws IOException {
         exchange.getRequestBody().readAllBytes();
         byte[] bytes = body.getBytes(StandardCharsets.US_ASCII);
         exchange.sendResponseHeaders(status, bytes.length);
@@ -107,14 +107,14 @@
         exchange.close();
     }
 
-    private static String ask(InetSocketAddress door, String id, Config config, int lifetimeMs) throws IOException {
+    private static String submit(InetSocketAddress door, String id, Config config, int lifetimeMs) throws IOException {
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", "k" + id, id, "c=" + config.queueClasses().get(0) + ",t="
                 + config.tenants().get(0) + ",d=" + lifetimeMs + ",k=t" + id + ",dest=1", "body")) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
         try (Socket client = new Socket(door.getAddress(), door.getPort())) {
-            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_S));
+            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             client.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
             return new String(client.getInputStream().readNBytes(3), StandardCharsets.US_ASCII);
         }
--- a/app/src/main/java/wrenreach/app/Serve.java
+++ b/app/src/main/java/wrenreach/app/Serve.java
@@ -34,26 +34,26 @@
 final class Serve {
     private static final System.Logger LOG = System.getLogger(Serve.class.getName());
     /** For how long a file that can't be used is read again, and between two looks where no signal tells; microseconds. */
-    private static final long PATIENCE = 2_000_000, LOOK = 1_000_000;
+    private static final long RELOAD_RETRY_LIMIT_US = 2_000_000, FILE_POLL_INTERVAL_US = 1_000_000;
 
     /** For how long a state folder that fails is tried again at the start, and between two tries; nanoseconds. */
-    private static final long FOLDER_PATIENCE = 10_000_000_000L, FOLDER_AGAIN = 50_000_000;
+    private static final long FOLDER_RETRY_LIMIT_NS = 10_000_000_000L, FOLDER_RETRY_INTERVAL_NS = 50_000_000;
 
-    private final Path file;
+    private final Path configPath;
     /** The operator's file; null: there is none. */
-    private final Path operatorFile;
+    private final Path operatorPath;
     private final Map<String, String> environment;
     private final PrintStream err;
     /** As read last; null: there is none, and none of its classes is loaded. */
-    private OperatorFile operator;
+    private OperatorFile operatorFile;
     /** The sections that subsystems go by. */
-    private final Map<String, Record> inForce = new LinkedHashMap<>();
-    private JsonLog json;
-    private String name = "node";
+    private final Map<String, Record> activeSections = new LinkedHashMap<>();
+    private JsonLog jsonLog;
+    private String nodeName = "node";
 
     Serve(Path file, Path operatorFile, Map<String, String> environment, PrintStream err) {
-        this.file = file;
-        this.operatorFile = operatorFile;
+        this.configPath = file;
+        this.operatorPath = operatorFile;
         this.environment = environment;
         this.err = err;
     }
@@ -61,9 +61,9 @@
     /** Runs a node on the state folder until it stops; check: it stops as soon as it serves. The exit code. */
     int run(Path state, boolean check) {
         // Before anything else: without a handler the signal ends the process.
-        Reload config = new Reload(file, PATIENCE);
-        Reload own = operatorFile == null ? null : new Reload(operatorFile, PATIENCE);
-        boolean told = onHangUp(() -> {
+        Reload config = new Reload(configPath, RELOAD_RETRY_LIMIT_US);
+        Reload own = operatorPath == null ? null : new Reload(operatorPath, RELOAD_RETRY_LIMIT_US);
+        boolean told = handleHangUp(() -> {
             config.signalled();
             if (own != null) {
                 own.signalled();
@@ -76,13 +76,13 @@
             return 2;
         } catch (OutOfMemoryError e) {
             // Guards against a start that ends in the middle of its reading: what was read is garbage by now.
-            err.println("wrenreach: " + FailureReport.outOfMemory(e) + ", the config " + file.toFile().length() / 1000 + " KB, the journal "
+            err.println("wrenreach: " + FailureReport.outOfMemory(e) + ", the config " + configPath.toFile().length() / 1000 + " KB, the journal "
                     + state.resolve("journal").toFile().length() / 1000 + " KB: give it more memory (-Xmx in deploy/serve.options) or less"
                     + " to hold");
             return 1;
         } finally {
-            if (json != null) {
-                json.close();
+            if (jsonLog != null) {
+                jsonLog.close();
             }
         }
     }
@@ -91,21 +91,21 @@
      * Has SIGHUP do this; false where it never will: started with the signal ignored (nohup, some supervisors), the
      * JVM installs no handler and tells so only by the one that it returns.
      */
-    private static boolean onHangUp(Runnable work) {
+    private static boolean handleHangUp(Runnable work) {
         return Signal.handle(new Signal("HUP"), signal -> work.run()) != SignalHandler.SIG_IGN;
     }
 
     private int serve(Path state, boolean check, Reload config, Reload own, boolean told)
             throws Config.InvalidConfigException, OperatorFile.InvalidFileException, Subsystem.StartException {
-        Config read = Config.read(file, environment);
-        name = read.name();
-        if (operatorFile != null) {
-            operator = OperatorFile.read(operatorFile, Parts.sections());
-            log(operator);
+        Config read = Config.read(configPath, environment);
+        nodeName = read.name();
+        if (operatorPath != null) {
+            operatorFile = OperatorFile.read(operatorPath, Parts.sections());
+            configureLog(operatorFile);
         }
         Ledger journal;
         try {
-            journal = open(state, read.diskBytes());
+            journal = openLedger(state, read.diskBytes());
         } catch (IOException e) {
             err.println("wrenreach: state folder " + state + " can't be used: " + e);
             return 1;
@@ -114,9 +114,9 @@
         // Not a shutdown hook: the logging of the platform ends in one of its own, and a stop is to be logged.
         Signal.handle(new Signal("TERM"), signal -> node.stop());
         Signal.handle(new Signal("INT"), signal -> node.stop());
-        if (operatorFile != null) {
+        if (operatorPath != null) {
             for (Subsystem<?> subsystem : Parts.subsystems()) {
-                start(subsystem, node);
+                startSubsystem(subsystem, node);
             }
         }
         if (check) {
@@ -129,45 +129,45 @@
         if (own != null) {
             own.setHandler(file -> {
                 try (InputStream in = file.open()) {
-                    reloaded(in.readAllBytes(), node);
+                    reloadOperatorFile(in.readAllBytes(), node);
                 }
             });
         }
         if (!told) {
-            watch(config, own);
+            watchFiles(config, own);
         }
         return node.stopped().join();
     }
 
     /** What is kept in the state folder; where the folder fails in a way that may pass, it is tried again for some seconds. */
-    private Ledger open(Path state, long limit) throws IOException, Subsystem.StartException {
-        long until = System.nanoTime() + FOLDER_PATIENCE;
+    private Ledger openLedger(Path state, long limit) throws IOException, Subsystem.StartException {
+        long until = System.nanoTime() + FOLDER_RETRY_LIMIT_NS;
         while (true) {
             try {
                 Files.createDirectories(state);
-                Ledger brought = operatorFile == null ? null : ledger(state, limit);
+                Ledger brought = operatorPath == null ? null : subsystemLedger(state, limit);
                 return brought == null ? Journal.open(state, limit) : brought;
             } catch (IOException e) {
                 if (!StorageErrors.isTransient(e) || System.nanoTime() > until) {
                     throw e;
                 }
-                LockSupport.parkNanos(FOLDER_AGAIN);
+                LockSupport.parkNanos(FOLDER_RETRY_INTERVAL_NS);
             }
         }
     }
 
     /** Follows the files on threads that end with the process. */
-    private void watch(Reload config, Reload own) {
-        new FileWatch("wrenreach-config", () -> List.of(file), LOOK, PATIENCE, config).start();
+    private void watchFiles(Reload config, Reload own) {
+        new FileWatch("wrenreach-config", () -> List.of(configPath), FILE_POLL_INTERVAL_US, RELOAD_RETRY_LIMIT_US, config).start();
         if (own != null) {
-            new FileWatch("wrenreach-operator", () -> List.of(operatorFile), LOOK, PATIENCE, own).start();
+            new FileWatch("wrenreach-operator", () -> List.of(operatorPath), FILE_POLL_INTERVAL_US, RELOAD_RETRY_LIMIT_US, own).start();
         }
     }
 
     /** What the operator's file puts in place of the journal; null: nothing. */
-    private Ledger ledger(Path state, long limit) throws Subsystem.StartException {
+    private Ledger subsystemLedger(Path state, long limit) throws Subsystem.StartException {
         for (Subsystem<?> subsystem : Parts.subsystems()) {
-            Ledger brought = ledger(subsystem, state, limit);
+            Ledger brought = subsystemLedger(subsystem, state, limit);
             if (brought != null) {
                 return brought;
             }
@@ -175,40 +175,40 @@
         return null;
     }
 
-    private <S extends Record> Ledger ledger(Subsystem<S> subsystem, Path state, long limit) throws Subsystem.StartException {
-        var section = operator.section(subsystem.section());
+    private <S extends Record> Ledger subsystemLedger(Subsystem<S> subsystem, Path state, long limit) throws Subsystem.StartException {
+        var section = operatorFile.section(subsystem.section());
         try {
             return section.isEmpty() ? null : subsystem.ledger(section.get(), state, limit).orElse(null);
         } catch (Subsystem.StartException e) {
-            throw new Subsystem.StartException(operatorFile + ": " + subsystem.section().name() + ": " + e.getMessage());
+            throw new Subsystem.StartException(operatorPath + ": " + subsystem.section().name() + ": " + e.getMessage());
         }
     }
 
-    private <S extends Record> void start(Subsystem<S> subsystem, DeliveryNode node) throws Subsystem.StartException {
-        var section = operator.section(subsystem.section());
+    private <S extends Record> void startSubsystem(Subsystem<S> subsystem, DeliveryNode node) throws Subsystem.StartException {
+        var section = operatorFile.section(subsystem.section());
         if (section.isPresent()) {
             String named = subsystem.section().name();
             NodeContext host = node;
             try {
                 RunningSubsystem<S> running = subsystem.start(section.get(), host);
                 node.add(named, running);
-                inForce.put(named, section.get());
+                activeSections.put(named, section.get());
             } catch (Subsystem.StartException e) {
-                throw new Subsystem.StartException(operatorFile + ": " + named + ": " + e.getMessage());
+                throw new Subsystem.StartException(operatorPath + ": " + named + ": " + e.getMessage());
             }
             LogEvent.log(LOG, Level.INFO, "subsystem.on", "{subsystem}: on", "subsystem", named);
         }
     }
 
     /** Takes the operator's file as it now is, whole or not at all, and says what became of each change. */
-    private synchronized void reloaded(byte[] bytes, DeliveryNode node) throws Reload.RejectedFileException {
+    private synchronized void reloadOperatorFile(byte[] bytes, DeliveryNode node) throws Reload.RejectedFileException {
         OperatorFile newer;
         try {
-            newer = OperatorFile.parse(operatorFile, bytes, Parts.sections());
+            newer = OperatorFile.parse(operatorPath, bytes, Parts.sections());
         } catch (OperatorFile.InvalidFileException e) {
-            throw new Reload.RejectedFileException(String.join("; ", e.faults().stream().map(f -> f.format(operatorFile)).toList()));
+            throw new Reload.RejectedFileException(String.join("; ", e.faults().stream().map(f -> f.format(operatorPath)).toList()));
         }
-        List<OperatorFile.Change> changes = operator.changes(newer);
+        List<OperatorFile.Change> changes = operatorFile.changes(newer);
         for (OperatorFile.Change change : changes) {
             LogEvent.log(LOG, change.live() ? Level.INFO : Level.WARNING, "reload.change",
                     "operator's file: {key} was {before}, now {after}{effect}", "key", change.key(), "before",
@@ -217,14 +217,14 @@
         if (changes.isEmpty()) {
             return;
         }
-        operator = newer;
-        log(newer);
+        operatorFile = newer;
+        configureLog(newer);
         for (Subsystem<?> subsystem : Parts.subsystems()) {
             Record section = newer.section(subsystem.section()).orElse(null);
             if (section != null) {
                 // What needs a restart stays as it is, also in part.
-                inForce.computeIfPresent(subsystem.section().name(), (named, was) -> {
-                    Record now = subsystem.section().reloaded(was, section);
+                activeSections.computeIfPresent(subsystem.section().name(), (named, was) -> {
+                    Record now = subsystem.section().mergeReloaded(was, section);
                     node.reloaded(named, now);
                     return now;
                 });
@@ -232,13 +232,13 @@
         }
     }
 
-    private void log(OperatorFile from) {
+    private void configureLog(OperatorFile from) {
         boolean wanted = from.section(LogSection.SECTION).map(LogSection::json).orElse(false);
-        if (wanted && json == null) {
-            json = JsonLog.start(name, err);
-        } else if (!wanted && json != null) {
-            json.close();
-            json = null;
+        if (wanted && jsonLog == null) {
+            jsonLog = JsonLog.start(nodeName, err);
+        } else if (!wanted && jsonLog != null) {
+            jsonLog.close();
+            jsonLog = null;
         }
     }
 }
--- a/app/src/test/java/wrenreach/app/DescriptorsTest.java
+++ b/app/src/test/java/wrenreach/app/DescriptorsTest.java
@@ -25,15 +25,15 @@
 
 /** A whole process whose descriptors a crowd of idle clients would fill while discovery is down. */
 class DescriptorsTest {
-    private static final int DESCRIPTORS = 300, CROWD = 800;
+    private static final int DESCRIPTOR_LIMIT = 300, CLIENT_COUNT = 800;
     @TempDir Path folder;
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleClients = new ArrayList<>();
     private Process node;
     private HttpServer discovery;
 
     @AfterEach void close() throws Exception {
-        for (Socket one : crowd) {
+        for (Socket one : idleClients) {
             one.close();
         }
         if (node != null) {
@@ -45,31 +45,31 @@
         threads.shutdownNow();
     }
 
-    private long descriptors() throws IOException {
+    private long openDescriptors() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(node.pid()), "fd"))) {
             return all.count();
         }
     }
 
     /** The reserve that no client can take: discovery is heard again, a mail goes out, and who was shut unread comes back. */
-    @Test void aCrowdOfIdleClientsLeavesDescriptorsForAllElse() throws Exception {
+    @Test void idleClientsLeaveDescriptorsForOtherUses() throws Exception {
         int door = ServeProcess.freePort(), agent = ServeProcess.freePort();
-        node = ServeProcess.start(folder, ServeProcess.config(door, agent).replace("\"sockets\": 512", "\"sockets\": " + DESCRIPTORS), door);
+        node = ServeProcess.start(folder, ServeProcess.config(door, agent).replace("\"sockets\": 512", "\"sockets\": " + DESCRIPTOR_LIMIT), door);
         // Files of the machine's own (libraries, archives) are no descriptors of the node's limit.
-        long before = descriptors();
+        long before = openDescriptors();
         AtomicInteger most = new AtomicInteger();
         AtomicBoolean over = new AtomicBoolean();
         threads.execute(() -> {
             while (!over.get()) {
                 try {
-                    most.accumulateAndGet((int) descriptors(), Math::max);
+                    most.accumulateAndGet((int) openDescriptors(), Math::max);
                 } catch (IOException e) {
                     return;
                 }
             }
         });
-        for (int i = 0; i < CROWD; i++) {
-            idle(door, i % 2 == 0);
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            connectIdleClient(door, i % 2 == 0);
         }
         LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
         LinkedBlockingQueue<String> called = new LinkedBlockingQueue<>();
@@ -90,32 +90,32 @@
             exchange.close();
         });
         discovery.start();
-        for (int i = 0; i < CROWD / 2; i++) {
-            idle(door, true); // The crowd goes on.
+        for (int i = 0; i < CLIENT_COUNT / 2; i++) {
+            connectIdleClient(door, true); // The crowd goes on.
         }
         assertThat(asked.poll(20, TimeUnit.SECONDS)).as("discovery is asked again").isNotNull();
         boolean taken = false;
         for (int i = 0; i < 2000 && !taken; i++) {
-            taken = handIn(door);
+            taken = submit(door);
         }
         assertThat(taken).as("who was shut unread comes back").isTrue();
         assertThat(called.poll(20, TimeUnit.SECONDS)).as("its mail goes out").isEqualTo("m1");
         over.set(true);
-        System.out.println("descriptors: " + before + " at rest, at most " + most.get() + " of " + DESCRIPTORS);
-        assertThat(most.get()).isLessThanOrEqualTo(DESCRIPTORS);
+        System.out.println("descriptors: " + before + " at rest, at most " + most.get() + " of " + DESCRIPTOR_LIMIT);
+        assertThat(most.get()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT);
         assertThat(Files.readString(folder.resolve("log"))).doesNotContain("Too many open files");
     }
 
     /** One more of the crowd; one that has asked once is not counted among those that never did, who have half of the room. */
-    private void idle(int door, boolean asksOnce) throws IOException {
+    private void connectIdleClient(int door, boolean asksOnce) throws IOException {
         Socket one = new Socket(InetAddress.getLoopbackAddress(), door);
-        crowd.add(one);
+        idleClients.add(one);
         if (asksOnce) {
             one.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    private static boolean handIn(int door) throws InterruptedException {
+    private static boolean submit(int door) throws InterruptedException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write(("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm1\r\n$35\r\nc=order,t=shop,d=15000,k=k-1,dest=1\r\n"
--- a/app/src/test/java/wrenreach/app/FailingNode.java
+++ b/app/src/test/java/wrenreach/app/FailingNode.java
@@ -32,7 +32,7 @@
         Kind kind = Kind.valueOf(words[1]);
         Path state = Path.of(words[3]);
         Config config = Config.read(Path.of(words[2]), Map.of());
-        DeliveryNode node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), settings -> module(place, kind, settings));
+        DeliveryNode node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), settings -> failingDispatcher(place, kind, settings));
         node.start();
         if (place == Place.TASK) {
             node.schedule(() -> fail(kind, new ArrayList<>()), 1000);
@@ -67,7 +67,7 @@
         }
     }
 
-    private static Dispatcher module(Place place, Kind kind, Settings settings) {
+    private static Dispatcher failingDispatcher(Place place, Kind kind, Settings settings) {
         DeliveryDispatcher sound = new DeliveryDispatcher(settings);
         return new Dispatcher() {
             /** What fills the memory stays, as a module's state would. */
--- a/app/src/test/java/wrenreach/app/FailureTest.java
+++ b/app/src/test/java/wrenreach/app/FailureTest.java
@@ -34,7 +34,7 @@
     }
 
     /** A folder that owes one mail. */
-    private void owe() throws IOException {
+    private void writeOutstandingMail() throws IOException {
         Files.createDirectories(state());
         Journal journal = Journal.open(state(), 2_000_000);
         Submission mail = new Submission("m1", "", "order", "shop", "k-1", 1, "body".getBytes(StandardCharsets.US_ASCII));
@@ -43,7 +43,7 @@
         journal.close();
     }
 
-    private Map<String, String> files() throws IOException {
+    private Map<String, String> stateFiles() throws IOException {
         Map<String, String> files = new TreeMap<>();
         try (Stream<Path> all = Files.list(state())) {
             for (Path file : all.toList()) {
@@ -67,9 +67,9 @@
     @CsvSource({"LISTED, MEMORY", "LISTED, STACK", "LISTED, DEFECT", "RECOVERED, MEMORY", "RECOVERED, ASSERTION", "TURN, MEMORY",
         "TURN, STACK", "TURN, DEFECT", "REQUEST, MEMORY", "REQUEST, STACK", "REQUEST, DEFECT", "TASK, MEMORY", "TASK, ASSERTION",
         "TASK, DEFECT"})
-    void aNodeThatCantGoOnEndsWithOneLine(FailingNode.Place place, FailingNode.Kind kind) throws Exception {
-        owe();
-        Map<String, String> before = files();
+    void anUnrecoverableNodeEndsWithOneLogLine(FailingNode.Place place, FailingNode.Kind kind) throws Exception {
+        writeOutstandingMail();
+        Map<String, String> before = stateFiles();
         int door;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             door = free.getLocalPort();
@@ -81,7 +81,7 @@
                 place.name(), kind.name(), config.toString(), state().toString());
         try {
             if (place == FailingNode.Place.REQUEST) {
-                handIn(node, door);
+                submit(node, door);
             }
             assertThat(node.waitFor(20, TimeUnit.SECONDS)).as("it ends: %s", Files.readString(log)).isTrue();
             String text = Files.readString(log);
@@ -94,13 +94,13 @@
                         case ASSERTION -> "java.lang.AssertionError: not so at FailingNode.java:";
                     }).contains("stays in the state folder: " + (kind == FailingNode.Kind.MEMORY ? "give it more memory (-Xmx" : "a defect, report"));
             assertThat(text).doesNotContain("\tat ").doesNotContain("Exception in thread");
-            assertThat(files()).isEqualTo(before);
+            assertThat(stateFiles()).isEqualTo(before);
         } finally {
             node.destroyForcibly();
         }
     }
 
-    private static void handIn(Process node, int door) throws Exception {
+    private static void submit(Process node, int door) throws Exception {
         for (int i = 0; node.isAlive() && i < 2000; i++) {
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
                 client.setSoTimeout(20_000);
@@ -115,9 +115,9 @@
     }
 
     /** A list that is too long for the memory that the config grants is refused with the figure, before the folder is touched. */
-    @Test void aConfigThatDoesNotFitIsRefusedWithTheFigures() throws Exception {
-        owe();
-        Map<String, String> before = files();
+    @Test void aConfigTooLargeForMemoryIsRejectedWithTheFigures() throws Exception {
+        writeOutstandingMail();
+        Map<String, String> before = stateFiles();
         Path config = folder.resolve("config.json");
         String sample = Files.readString(SAMPLE);
         int at = sample.indexOf("{\"name\": \"receiver-1\"");
@@ -139,7 +139,7 @@
             assertThat(text.lines()).as(text).last().asString().startsWith("wrenreach: config ").contains("\"known\": a list of more than 3")
                     .contains("bytes that a list may take here (an eighth of limits.memory_mb, and half of the heap), line 3");
             assertThat(text).doesNotContain("\tat ").doesNotContain("Exception in thread");
-            assertThat(files()).isEqualTo(before);
+            assertThat(stateFiles()).isEqualTo(before);
         } finally {
             node.destroyForcibly();
         }
--- a/app/src/test/java/wrenreach/app/LabRun.java
+++ b/app/src/test/java/wrenreach/app/LabRun.java
@@ -10,7 +10,7 @@
 import wrenreach.lab.LabCommand;
 
 /** One run of an experiment with fleets of processes: its exit code (0: all rules hold), what it said, and its folder. */
-record LabRun(int code, String said, Path out) {
+record LabRun(int code, String output, Path out) {
     static LabRun play(Path folder, Path experiment) {
         Path out = folder.resolve("out");
         ByteArrayOutputStream said = new ByteArrayOutputStream();
--- a/app/src/test/java/wrenreach/app/LoadTest.java
+++ b/app/src/test/java/wrenreach/app/LoadTest.java
@@ -49,12 +49,12 @@
                 """.formatted(seeds, nodes, fleet, Stream.of(faults).map(one -> '"' + one + '"').collect(Collectors.joining(", "))));
     }
 
-    private int load(Path file) {
+    private int runLoad(Path file) {
         PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
         return new LabCommand().run(List.of("load", file.toString(), "--out", folder.resolve("out").toString()), print, print);
     }
 
-    private String said() {
+    private String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -75,8 +75,8 @@
         "journal; half clients>n0 at 1000 for 900, rate n1-platform 400 at 900 for 1500, relay_dies n2-r1 at 1200 for 800; relay_dies",
         "journal; vanish 1 at 1000 for 1500, drain 0 at 1800 for 1000, refuse n1-r2 at 800 for 1500; ToldDrain",
         "journal; reload 0 at 1200 for 1500, down 3 at 1000 for 1500, kill 2 once taken n2 20 for 300; Died"})
-    void fleetsOfProcessesKeepTheRules(String ledger, String faults, String mark) throws Exception {
-        assertThat(load(experiment(3, 1, "ledger = \"" + ledger + "\"", faults.split(", ")))).as(said()).isZero();
+    void fleetsOfProcessesSatisfyTheRules(String ledger, String faults, String mark) throws Exception {
+        assertThat(runLoad(experiment(3, 1, "ledger = \"" + ledger + "\"", faults.split(", ")))).as(output()).isZero();
         String[] line = Files.readAllLines(folder.resolve("out/results.csv")).get(1).split(",");
         assertThat(line[1]).isEqualTo("real nodes on loopback");
         assertThat(Integer.parseInt(line[6])).as("mails").isGreaterThan(60);
@@ -89,25 +89,25 @@
     /** A check that never fails is no check: nodes that are wrong on purpose are caught, each by its rule. */
     @ParameterizedTest
     @EnumSource(WrongNode.Wrong.class)
-    void wrongBuildsAreCaught(WrongNode.Wrong wrong) throws Exception {
-        assertThat(load(experiment(3, 2, "builds = [\"n0 = class " + WrongNode.class.getName() + " " + wrong + "\"]", wrong.faults.split(", ")))).as(said()).isEqualTo(1);
-        assertThat(said()).contains("breaks " + wrong.rule);
+    void faultyNodesAreDetected(WrongNode.Wrong wrong) throws Exception {
+        assertThat(runLoad(experiment(3, 2, "builds = [\"n0 = class " + WrongNode.class.getName() + " " + wrong + "\"]", wrong.faults.split(", ")))).as(output()).isEqualTo(1);
+        assertThat(output()).contains("breaks " + wrong.rule);
     }
 
-    @Test void whatProcessesCantPlayIsSaidBeforeAnythingStarts() throws Exception {
-        assertThat(load(experiment(3, 1, "builds = [\"n1 = /no/such.jar\"]", "disk_full 0 at 800 for 300", "cut n0-r9 at 1 for 1"))).isEqualTo(2);
-        assertThat(said()).contains("disk_full is played in virtual time only", "there is no /no/such.jar", "fault cut: there is no r9");
+    @Test void unsupportedExperimentsAreRejectedBeforeAnythingStarts() throws Exception {
+        assertThat(runLoad(experiment(3, 1, "builds = [\"n1 = /no/such.jar\"]", "disk_full 0 at 800 for 300", "cut n0-r9 at 1 for 1"))).isEqualTo(2);
+        assertThat(output()).contains("disk_full is played in virtual time only", "there is no /no/such.jar", "fault cut: there is no r9");
         assertThat(folder.resolve("out")).doesNotExist();
     }
 
     /** A fault that waits for what never comes is told, and the day ends all the same. */
-    @Test void aConditionThatNeverComesIsTold() throws Exception {
-        assertThat(load(experiment(1, 1, "", "kill 0 once delivered r3 100000 for 300"))).as(said()).isEqualTo(1);
-        assertThat(said()).contains("NeverCame", "once delivered r3 100000");
+    @Test void aConditionThatIsNeverMetIsReported() throws Exception {
+        assertThat(runLoad(experiment(1, 1, "", "kill 0 once delivered r3 100000 for 300"))).as(output()).isEqualTo(1);
+        assertThat(output()).contains("NeverCame", "once delivered r3 100000");
     }
 
     /** Two runs at once don't meet; a run that is killed outright leaves no process behind. */
-    @Test void aRunThatIsKilledLeavesNoOrphan() throws Exception {
+    @Test void aKilledRunLeavesNoOrphanProcess() throws Exception {
         Path file = experiment(2, 9, "", "freeze 1 at 500 for 3000");
         Process run = new ProcessBuilder(ProcessHandle.current().info().command().orElseThrow(), "-cp",
                 System.getProperty("java.class.path"), "wrenreach.app.Launch", "lab", "load", file.toString(), "--out",
--- a/app/src/test/java/wrenreach/app/MainTest.java
+++ b/app/src/test/java/wrenreach/app/MainTest.java
@@ -17,11 +17,11 @@
     @ParameterizedTest
     @CsvSource({"help, 0", "version, 0", "nothing, 2", "serve, 2", "serve more, 2", "held --wrong, 2",
         "serve --config absent --state absent, 2", "held --state absent, 1"})
-    void theCommandLineAnswersWithItsCodes(String line, int code) {
+    void commandLinesReturnTheirExitCodes(String line, int code) {
         assertThat(Main.run(line.split(" "), Map.of())).isEqualTo(code);
     }
 
-    @Test void aStateFolderThatCantBeUsedIsCodeOne(@TempDir Path folder) throws IOException {
+    @Test void anUnusableStateFolderIsExitCodeOne(@TempDir Path folder) throws IOException {
         Path file = Files.writeString(folder.resolve("file"), "");
         String[] args = {"serve", "--config", SAMPLE.toString(), "--state", file.toString()};
         assertThat(Main.run(args, Map.of())).isEqualTo(1);
--- a/app/src/test/java/wrenreach/app/OutOfOrderTest.java
+++ b/app/src/test/java/wrenreach/app/OutOfOrderTest.java
@@ -40,7 +40,7 @@
                 [faults]
                 schedule = ["socket_fails 0 0.2 at 600 for 8000", "reset nodes-receivers 0.5 at 700 for 1 every 60"]
                 """));
-        assertThat(run.code()).as(run.said()).isZero();
+        assertThat(run.code()).as(run.output()).isZero();
         assertThat(run.log("1-1/n0.log")).containsPattern("made to fail so far: SOCKET [1-9]");
     }
 }
--- a/app/src/test/java/wrenreach/app/ReadyTest.java
+++ b/app/src/test/java/wrenreach/app/ReadyTest.java
@@ -24,22 +24,22 @@
 /** What a restart spends until it is ready, in processor time: how long that takes follows from the share of a core. */
 class ReadyTest {
     /** Ready within 10 s at a third of a core; without the class-data archive, which saves more than a tenth of a second. */
-    private static final Duration MOST = Duration.ofMillis(10_000 / 3);
-    private static final long DISK = 8_000_000;
-    private static final int ENDPOINTS = 300;
+    private static final Duration MAX_CPU_TIME = Duration.ofMillis(10_000 / 3);
+    private static final long DISK_LIMIT_BYTES = 8_000_000;
+    private static final int ENDPOINT_COUNT = 300;
     @TempDir Path folder;
 
     /** The most that the disk limit holds, with a list kept and discovery down. */
-    @Test void aRestartWithAFullFolderIsSoonReady() throws Exception {
+    @Test void aRestartWithAFullStateFolderIsReadyInTime() throws Exception {
         Path state = Files.createDirectories(folder.resolve("state"));
         int mails = 0;
-        try (Journal journal = Journal.open(state, DISK)) {
+        try (Journal journal = Journal.open(state, DISK_LIMIT_BYTES)) {
             long ends = 1000 * (System.currentTimeMillis() + 3_600_000);
             for (; journal.fits(100, 0, 4); mails++) {
-                journal.accepted(new HeldMail(new Submission("m" + mails, "", "order", "shop", "t" + mails, mails % ENDPOINTS, new byte[100]), ends));
+                journal.accepted(new HeldMail(new Submission("m" + mails, "", "order", "shop", "t" + mails, mails % ENDPOINT_COUNT, new byte[100]), ends));
             }
             List<ListUpdate.Entry> entries = new ArrayList<>();
-            for (int i = 0; i < ENDPOINTS; i++) {
+            for (int i = 0; i < ENDPOINT_COUNT; i++) {
                 entries.add(new ListUpdate.Entry("receiver-" + i, "127.0.0.1:9", "home", "small", i, "SERVING", 10));
             }
             EndpointTable list = new EndpointTable(1_000_000, "a test");
@@ -53,27 +53,27 @@
             door = free.getLocalPort();
         }
         Path config = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("deploy/sample.json"))
-                .replace("127.0.0.1:0", "127.0.0.1:" + door).replace("\"disk_mb\": 2", "\"disk_mb\": " + DISK / 1_000_000)
+                .replace("127.0.0.1:0", "127.0.0.1:" + door).replace("\"disk_mb\": 2", "\"disk_mb\": " + DISK_LIMIT_BYTES / 1_000_000)
                 .replace("\"MaxOpen\": 100", "\"MaxOpen\": " + 2 * mails));
         Path log = folder.resolve("log");
         Process node = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "@deploy/serve.options",
                 "-cp", System.getProperty("java.class.path"), "wrenreach.app.Launch", "serve", "--config", config.toString(),
                 "--state", state.toString()).redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
-            for (int i = 0; !pongs(door); i++) {
+            for (int i = 0; !answersPing(door); i++) {
                 assertThat(node.isAlive() && i < 6000).as(Files.readString(log)).isTrue();
                 Thread.sleep(10);
             }
             Duration spent = node.info().totalCpuDuration().orElseThrow();
-            System.out.println("ready with " + mails + " mails and " + ENDPOINTS + " endpoints after " + spent.toMillis() + " ms of processor time");
+            System.out.println("ready with " + mails + " mails and " + ENDPOINT_COUNT + " endpoints after " + spent.toMillis() + " ms of processor time");
             assertThat(Files.readString(log)).contains("recovered " + mails + " mails");
-            assertThat(spent).isLessThan(MOST);
+            assertThat(spent).isLessThan(MAX_CPU_TIME);
         } finally {
             node.destroyForcibly().waitFor(20, TimeUnit.SECONDS);
         }
     }
 
-    private static boolean pongs(int door) {
+    private static boolean answersPing(int door) {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
             client.setSoTimeout(60_000);
             client.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/app/src/test/java/wrenreach/app/RestartTest.java
+++ b/app/src/test/java/wrenreach/app/RestartTest.java
@@ -30,35 +30,35 @@
  * and the platform, which the test plays itself.
  */
 class RestartTest {
-    private static final int MAILS = 80;
+    private static final int MAIL_COUNT = 80;
     private static final Pattern ID = Pattern.compile("\"id\":\"(m\\d+)\"");
     @TempDir Path folder;
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final Set<String> called = ConcurrentHashMap.newKeySet();
     private final Set<String> noticed = ConcurrentHashMap.newKeySet();
-    private HttpServer outside;
-    private int door;
+    private HttpServer outsideServer;
+    private int listenerPort;
     /** What a receiver tells its callers to wait, in milliseconds; 0: it works. */
-    private volatile long shutFor;
+    private volatile long retryAfterMs;
     /** Whether discovery takes watches and says nothing. */
-    private volatile boolean mute;
+    private volatile boolean discoverySilent;
     private Process node;
 
     @BeforeEach void listen() throws IOException {
-        door = ServeProcess.freePort();
-        outside = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
-        outside.setExecutor(threads);
-        outside.createContext("/events", exchange -> {
+        listenerPort = ServeProcess.freePort();
+        outsideServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
+        outsideServer.setExecutor(threads);
+        outsideServer.createContext("/events", exchange -> {
             exchange.getRequestBody().readAllBytes();
-            if (shutFor > 0) {
-                exchange.getResponseHeaders().set("Wait-Ms", Long.toString(shutFor));
+            if (retryAfterMs > 0) {
+                exchange.getResponseHeaders().set("Wait-Ms", Long.toString(retryAfterMs));
             } else {
                 called.add(exchange.getRequestHeaders().getFirst("X-Call-Id"));
             }
-            exchange.sendResponseHeaders(shutFor > 0 ? 429 : 200, -1);
+            exchange.sendResponseHeaders(retryAfterMs > 0 ? 429 : 200, -1);
             exchange.close();
         });
-        outside.createContext("/v2/finals", exchange -> {
+        outsideServer.createContext("/v2/finals", exchange -> {
             Matcher ids = ID.matcher(new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.US_ASCII));
             while (ids.find()) {
                 noticed.add(ids.group(1));
@@ -66,34 +66,34 @@
             exchange.sendResponseHeaders(204, -1);
             exchange.close();
         });
-        outside.createContext("/api/targets", exchange -> {
-            if (!mute) {
-                ServeProcess.watched(exchange);
+        outsideServer.createContext("/api/targets", exchange -> {
+            if (!discoverySilent) {
+                ServeProcess.acceptWatch(exchange);
             }
         });
-        outside.start();
+        outsideServer.start();
     }
 
     @AfterEach void close() throws InterruptedException {
         if (node != null) {
             node.destroyForcibly().waitFor();
         }
-        outside.stop(0);
+        outsideServer.stop(0);
         threads.shutdownNow();
     }
 
     /** Starts a process whose settings have this weight of the receiver, and waits until it serves. */
     private void start(int weight) throws Exception {
-        node = ServeProcess.start(folder, ServeProcess.config(door, outside.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": " + weight),
-                door);
+        node = ServeProcess.start(folder, ServeProcess.config(listenerPort, outsideServer.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": " + weight),
+                listenerPort);
     }
 
     /** Hands in mails, one connection; those that were taken on. */
-    private Set<String> handIn(long lifetimeMs) throws IOException {
+    private Set<String> submitMails(long lifetimeMs) throws IOException {
         Set<String> taken = new LinkedHashSet<>();
-        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
-            for (int i = 0; i < MAILS; i++) {
+            for (int i = 0; i < MAIL_COUNT; i++) {
                 StringBuilder request = new StringBuilder("*5\r\n");
                 for (String word : List.of("ENQUEUE", "k" + i, "m" + i, "c=order,t=shop,d=" + lifetimeMs + ",k=t" + i + ",dest=1", "body")) {
                     request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -125,17 +125,17 @@
     @CsvSource({"KILL, 1, 20000, 12000, 200, false", "TERM, 1, 20000, 12000, 200, false", "KILL, 1, 20000, 12000, 200, true",
         "KILL, 1, 20000, 12000, 12, false", "KILL, 3, 20000, 12000, 200, false", "KILL, 1, 8000, 2000, 200, false",
         "KILL, 1, 8000, 2000, 3, false"})
-    void whatARestartFindsUntriedIsCalled(String how, int ends, long lifetimeMs, long waitMs, int weight, boolean discoveryDown)
+    void recoveredUntriedMailsAreCalled(String how, int ends, long lifetimeMs, long waitMs, int weight, boolean discoveryDown)
             throws Exception {
-        shutFor = waitMs;
+        retryAfterMs = waitMs;
         start(200);
-        Set<String> taken = handIn(lifetimeMs);
-        assertThat(taken.size()).isGreaterThan(MAILS / 2);
+        Set<String> taken = submitMails(lifetimeMs);
+        assertThat(taken.size()).isGreaterThan(MAIL_COUNT / 2);
         for (int i = 0; i < ends; i++) {
             end(how);
             if (i == ends - 1) {
-                shutFor = 0;
-                mute = discoveryDown;
+                retryAfterMs = 0;
+                discoverySilent = discoveryDown;
             }
             start(weight);
         }
--- a/app/src/test/java/wrenreach/app/ServeProcess.java
+++ b/app/src/test/java/wrenreach/app/ServeProcess.java
@@ -33,7 +33,7 @@
                 config.toString(), "--state", folder.resolve("state").toString())
                 .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile())).start();
         for (int i = 0; i < 2000; i++) {
-            if (ask(door, "PING\r\n") == '+') {
+            if (firstReplyByte(door, "PING\r\n") == '+') {
                 return node;
             }
             Thread.sleep(10);
@@ -43,7 +43,7 @@
     }
 
     /** The first byte of the answer; -1: it does not listen, or closed the connection. */
-    static int ask(int door, String request) {
+    static int firstReplyByte(int door, String request) {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
@@ -54,7 +54,7 @@
     }
 
     /** Takes a watch of the list of endpoints, which stays open, and tells no change. */
-    static void watched(HttpExchange exchange) throws IOException {
+    static void acceptWatch(HttpExchange exchange) throws IOException {
         exchange.sendResponseHeaders(200, 0);
         exchange.getResponseBody().write("{\"index\":0,\"snapshot\":false,\"endpoints\":[]}\n".getBytes(StandardCharsets.US_ASCII));
         exchange.getResponseBody().flush();
--- a/app/src/test/java/wrenreach/app/ServeTest.java
+++ b/app/src/test/java/wrenreach/app/ServeTest.java
@@ -28,7 +28,7 @@
     }
 
     /** A node as a process of its own on the sample config; its log goes to the file. */
-    private Process node(Path log, boolean hangUpIgnored, List<String> javaOptions, String... more) throws IOException {
+    private Process startNode(Path log, boolean hangUpIgnored, List<String> javaOptions, String... more) throws IOException {
         List<String> words = new ArrayList<>();
         if (hangUpIgnored) {
             words.addAll(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
@@ -41,7 +41,7 @@
         return new ProcessBuilder(words).redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    private static void until(Path log, String line) throws Exception {
+    private static void awaitLog(Path log, String line) throws Exception {
         String text = "";
         for (int i = 0; i < 1500 && !text.contains(line); i++) {
             Thread.sleep(20);
@@ -50,24 +50,24 @@
         assertThat(text).contains(line);
     }
 
-    private static void end(Process node) throws InterruptedException {
+    private static void terminate(Process node) throws InterruptedException {
         node.destroy();
         assertThat(node.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(node.exitValue()).isZero();
     }
 
     /** Guards start and memory: what is off is not loaded, nor are the libraries that only it needs. */
-    @Test void whatIsOffLoadsNoClass() throws Exception {
+    @Test void disabledSubsystemsLoadNoClasses() throws Exception {
         Path log = folder.resolve("log");
         List<String> options = List.of("-Xlog:class+load:file=" + folder.resolve("classes"));
-        Process plain = node(log, false, options, "--config", SAMPLE.toString(), "--check");
+        Process plain = startNode(log, false, options, "--config", SAMPLE.toString(), "--check");
         assertThat(plain.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(plain.exitValue()).as(Files.readString(log)).isZero();
         String loaded = Files.readString(folder.resolve("classes"));
         assertThat(loaded).contains("wrenreach.node.DeliveryNode").doesNotContain("wrenreach.lists.")
                 .doesNotContain("wrenreach.operator.Section").doesNotContain("ch.qos.logback").doesNotContain("org.slf4j")
                 .doesNotContain("jackson.databind").doesNotContain("jackson.dataformat").doesNotContain("wrenreach.watch.FileWatch ");
-        Process json = node(log, false, options, "--config", SAMPLE.toString(), "--check", "--operator",
+        Process json = startNode(log, false, options, "--config", SAMPLE.toString(), "--check", "--operator",
                 operator("[log]\nformat = \"json\"\n").toString());
         assertThat(json.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(Files.readString(log).lines()).isNotEmpty().allMatch(line -> line.startsWith("{\"time\":\"2"))
@@ -80,40 +80,40 @@
     /** Guards nodes under nohup and such: their files are watched, and the log says which way it is. */
     @ParameterizedTest
     @CsvSource({"true, whenever it changes", "false, on SIGHUP"})
-    void aNodeFollowsItsFilesHoweverItIsStarted(boolean ignored, String way) throws Exception {
+    void aNodeReloadsItsFilesWithAndWithoutSigHup(boolean ignored, String way) throws Exception {
         Path log = folder.resolve("log");
         Path config = Files.copy(SAMPLE, folder.resolve("config.json"));
         Path own = operator("[log]\n");
-        Process node = node(log, ignored, List.of(), "--config", config.toString(), "--operator", own.toString());
+        Process node = startNode(log, ignored, List.of(), "--config", config.toString(), "--operator", own.toString());
         try {
-            until(log, "SERVING");
-            until(log, "config is read again " + way);
+            awaitLog(log, "SERVING");
+            awaitLog(log, "config is read again " + way);
             Files.writeString(folder.resolve("next"), Files.readString(SAMPLE).replace("\"discovery\": \"127.0.0.1:9\"",
                     "\"discovery\": \"127.0.0.1:19\""));
             Files.move(folder.resolve("next"), config, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-            hangUp(node, ignored);
-            until(log, "discovery is 127.0.0.1:19");
+            sendHangUp(node, ignored);
+            awaitLog(log, "discovery is 127.0.0.1:19");
             operator("[log]\nformat = \"jsn\"\n");
-            hangUp(node, ignored);
-            until(log, "operator.toml:2: log.format: is one of text, json, not jsn; did you mean json?; all stays as it was");
+            sendHangUp(node, ignored);
+            awaitLog(log, "operator.toml:2: log.format: is one of text, json, not jsn; did you mean json?; all stays as it was");
             operator("[log]\nformat = \"json\"\n[lists]\nmanifest = \"m\"\nkept = \"k\"\n");
-            hangUp(node, ignored);
-            until(log, "operator's file: lists was off, now on (needs a restart)");
-            until(log, "log.format was \"text\", now \"json\"");
-            end(node);
+            sendHangUp(node, ignored);
+            awaitLog(log, "operator's file: lists was off, now on (needs a restart)");
+            awaitLog(log, "log.format was \"text\", now \"json\"");
+            terminate(node);
             assertThat(Files.readString(log)).contains("{\"time\"").contains("\"to\":\"STOPPED\"");
         } finally {
             node.destroyForcibly();
         }
     }
 
-    private static void hangUp(Process node, boolean ignored) throws Exception {
+    private static void sendHangUp(Process node, boolean ignored) throws Exception {
         if (!ignored) {
             assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(node.pid())).start().waitFor()).isZero();
         }
     }
 
-    @Test void aSubsystemThatCantStartAndAFaultyFileStopTheStartWithCodeTwo() throws Exception {
+    @Test void aSubsystemThatCantStartOrAnInvalidFileEndsTheStartWithCodeTwo() throws Exception {
         File file = Files.createFile(folder.resolve("file")).toFile();
         Path own = operator("[lists]\nmanifest = \"m\"\nkept = \"" + file + "/kept\"\n");
         assertThat(serve(own)).startsWith("2 wrenreach: " + own + ": lists: the folder kept = ").doesNotContain("\n");
@@ -132,7 +132,7 @@
     }
 
     /** Guards the sample against going stale: each example file under deploy/ is sound. */
-    @Test void theExampleOfAnOperatorsFileIsSound() throws Exception {
+    @Test void theSampleOperatorFileIsValid() throws Exception {
         assertThat(new OperatorCommand().run(List.of("check", "deploy/operator.toml"), System.out, System.err)).isZero();
         assertThat(wrenreach.operator.OperatorFile.read(Path.of("deploy/operator.toml"), Parts.sections()).effectiveValues())
                 .extracting(shown -> shown.key()).contains("log.format");
--- a/app/src/test/java/wrenreach/app/SoakTest.java
+++ b/app/src/test/java/wrenreach/app/SoakTest.java
@@ -22,13 +22,13 @@
         return new LabCommand().run(List.of(words), print, print);
     }
 
-    private String said() {
+    private String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    @Test void drawnDaysKeepTheRules() {
-        assertThat(soak("soak", "--seeds", "1..6", "--out", folder.toString())).as(said()).isZero();
-        assertThat(said()).contains("6 days played, 0 failed");
+    @Test void randomDaysSatisfyTheRules() {
+        assertThat(soak("soak", "--seeds", "1..6", "--out", folder.toString())).as(output()).isZero();
+        assertThat(output()).contains("6 days played, 0 failed");
     }
 
     /** A day that breaks a rule fails, names it, and can be played again: here the platform can't be reached by anyone. */
@@ -44,12 +44,12 @@
                 fault silent all at 200 for 9000
                 fault socket_fails 0 1 at 400 for 9000
                 """);
-        assertThat(soak("soak", "--day", day.toString(), "--out", folder.toString())).as(said()).isEqualTo(1);
-        assertThat(said()).contains("BROKEN LOST");
+        assertThat(soak("soak", "--day", day.toString(), "--out", folder.toString())).as(output()).isEqualTo(1);
+        assertThat(output()).contains("BROKEN LOST");
     }
 
-    @Test void usageIsToldWithCode2() {
+    @Test void usageIsPrintedWithExitCode2() {
         assertThat(soak("soak")).isEqualTo(2);
-        assertThat(said()).contains("--seeds A..B or --day FILE");
+        assertThat(output()).contains("--seeds A..B or --day FILE");
     }
 }
--- a/app/src/test/java/wrenreach/app/SystemCallFaultsTest.java
+++ b/app/src/test/java/wrenreach/app/SystemCallFaultsTest.java
@@ -40,7 +40,7 @@
                 """.formatted(rate, lifetimeMs, Stream.of(faults).map(one -> '"' + one + '"').collect(Collectors.joining(", ")))));
     }
 
-    private static int number(String log, String before) {
+    private static int numberAfter(String log, String before) {
         int at = log.lastIndexOf(before) + before.length();
         return Integer.parseInt(log.substring(at).replaceFirst("\\D.*", "").lines().findFirst().orElseThrow());
     }
@@ -60,10 +60,10 @@
         "FOLDER; folder_fails 0 1 5 at 1500 for 2500, kill 0 at 2000 for 300",
         "FOLDER; kill_in_write 0 at 1500 for 300, kill_in_write 0 at 3500 for 300, folder_fails 0 0.2 at 5000 for 500",
         "SOCKET; socket_fails 0 0.3 at 500 for 5000, kill 0 at 1500 for 300, stop 0 at 3000 for 300"})
-    void theRulesHold(String call, String faults) throws Exception {
+    void theRulesHoldUnderFailingSystemCalls(String call, String faults) throws Exception {
         LabRun run = play(40, faults.split(", "));
-        assertThat(run.code()).as(run.said()).isZero();
-        assertThat(number(run.log("1-1/n0.log"), "made to fail so far: " + call + " ")).as("faults that struck").isPositive();
+        assertThat(run.code()).as(run.output()).isZero();
+        assertThat(numberAfter(run.log("1-1/n0.log"), "made to fail so far: " + call + " ")).as("faults that struck").isPositive();
     }
 
     /** Spans are real time: a stepped wall clock ends nothing early and leaves nothing owed, also over a restart. */
@@ -71,24 +71,24 @@
     @CsvSource(delimiter = ';', value = {
         "wall_ahead 0 3600 at 2100 for 30000", "wall_behind 0 3600 at 2100 for 30000", "wall_ahead 0 3600 at 1500 for 700",
         "wall_behind 0 3600 at 1000 for 1100", "wall_ahead 0 5 at 2100 for 30000"})
-    void aSteppedWallClockMovesNoSpan(String step) throws Exception {
+    void aSteppedWallClockChangesNoTimeout(String step) throws Exception {
         // Time enough for what is found: with less, a third of it ends for want of time also where no clock is stepped.
         LabRun run = play(40, 6000, "down all at 600 for 1300", "kill 0 at 1900 for 500", step);
-        assertThat(run.code()).as(run.said()).isZero();
+        assertThat(run.code()).as(run.output()).isZero();
         assertThat(run.log("1-1/n0.log")).containsPattern("recovered [1-9][0-9]+ mails");
     }
 
     /** A message that was refused because its record failed is not found by the next process, and is not sent. */
-    @Test void whatWasRefusedIsNotSentAfterARestart() throws Exception {
+    @Test void aRefusedMailIsNotSentAfterARestart() throws Exception {
         LabRun run = play(80, 8000, "folder_fails 0 1 5 at 600 for 150 every 1150", "kill 0 at 5700 for 300");
-        assertThat(run.code()).as(run.said()).isZero();
+        assertThat(run.code()).as(run.output()).isZero();
         assertThat(run.log("1-1/n0.log")).contains("the state folder takes no records", "the state folder takes records again");
     }
 
     /** The next accept follows at once: one in five that fails costs clients a second try, not a second of silence. */
     @Test void clientsAreAcceptedAgainAtOnce() throws Exception {
         LabRun run = play(60, "accept_fails 0 0.2 at 300 for 5700");
-        assertThat(run.code()).as(run.said()).isZero();
+        assertThat(run.code()).as(run.output()).isZero();
         String timeline = run.log("1-1/timeline.txt");
         long accepted = timeline.lines().filter(line -> line.contains("answer=OK")).count();
         long unanswered = timeline.lines().filter(line -> line.contains("answer=NONE")).count();
@@ -98,9 +98,9 @@
     /** What this machine fails in is held against no receiver. */
     @Test void breakersOfHealthyReceiversStayClosed() throws Exception {
         LabRun run = play(40, 8000, "connect_fails 0 1 at 1500 for 3500", "reset nodes-receivers 1 at 1505 for 1 every 300");
-        assertThat(run.code()).as(run.said()).isZero();
+        assertThat(run.code()).as(run.output()).isZero();
         String log = run.log("1-1/n0.log");
-        assertThat(number(log, "made to fail so far: CONNECT ")).isGreaterThan(10);
+        assertThat(numberAfter(log, "made to fail so far: CONNECT ")).isGreaterThan(10);
         assertThat(log).doesNotContain("breaker opened by ConnectFailed", "breaker opened by LocalFault", "breaker reopened");
     }
 }
--- a/app/src/test/java/wrenreach/app/WindowTest.java
+++ b/app/src/test/java/wrenreach/app/WindowTest.java
@@ -28,42 +28,42 @@
 /** Whole processes, killed with a call out, and a window for repeats that is over when the next process is there. */
 class WindowTest {
     /** Right behind what the kill comes. */
-    enum Behind { TAKEN, LAST_BYTE, ANSWER }
+    enum KillPoint { TAKEN, LAST_BYTE, ANSWER }
 
     private static final Pattern NOTICE = Pattern.compile("\"id\":\"(\\w+)\",\"status\":\"(\\w+)\"");
-    private static final long WINDOW_MS = 1000;
+    private static final long DEDUPLICATION_WINDOW_MS = 1000;
     @TempDir Path folder;
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> notices = new LinkedBlockingQueue<>();
     private final CountDownLatch killed = new CountDownLatch(1);
-    private volatile Behind behind;
-    private HttpServer outside;
-    private int door;
+    private volatile KillPoint killPoint;
+    private HttpServer outsideServer;
+    private int listenerPort;
     private Process node;
 
     @BeforeEach void listen() throws IOException {
-        door = ServeProcess.freePort();
-        outside = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
-        outside.setExecutor(threads);
-        outside.createContext("/events", exchange -> {
+        listenerPort = ServeProcess.freePort();
+        outsideServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
+        outsideServer.setExecutor(threads);
+        outsideServer.createContext("/events", exchange -> {
             exchange.getRequestBody().readAllBytes();
             String id = exchange.getRequestHeaders().getFirst("X-Call-Id");
             if (id.equals("m3")) {
                 return; // Never answered: it ends at its own time.
             }
-            if (behind == Behind.LAST_BYTE && id.equals("m1")) {
-                end(id);
+            if (killPoint == KillPoint.LAST_BYTE && id.equals("m1")) {
+                recordCallAndKill(id);
             }
             exchange.sendResponseHeaders(200, -1);
             exchange.close();
-            if (behind == Behind.ANSWER && id.equals("m1")) {
-                end(id);
-            } else if (behind == Behind.TAKEN || !id.equals("m1")) {
+            if (killPoint == KillPoint.ANSWER && id.equals("m1")) {
+                recordCallAndKill(id);
+            } else if (killPoint == KillPoint.TAKEN || !id.equals("m1")) {
                 calls.add(id);
             }
         });
-        outside.createContext("/v2/finals", exchange -> {
+        outsideServer.createContext("/v2/finals", exchange -> {
             Matcher ids = NOTICE.matcher(new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.US_ASCII));
             while (ids.find()) {
                 notices.add(ids.group(1) + " " + ids.group(2));
@@ -71,12 +71,12 @@
             exchange.sendResponseHeaders(204, -1);
             exchange.close();
         });
-        outside.createContext("/api/targets", ServeProcess::watched);
-        outside.start();
+        outsideServer.createContext("/api/targets", ServeProcess::acceptWatch);
+        outsideServer.start();
     }
 
     /** Kills the process with the first call of the mail out; a later one is only counted. */
-    private void end(String id) {
+    private void recordCallAndKill(String id) {
         calls.add(id);
         if (killed.getCount() > 0) {
             try {
@@ -92,23 +92,23 @@
         if (node != null) {
             node.destroyForcibly().waitFor();
         }
-        outside.stop(0);
+        outsideServer.stop(0);
         threads.shutdownNow();
     }
 
     private void start(String effect) throws Exception {
-        node = ServeProcess.start(folder, ServeProcess.config(door, outside.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": 200")
-                .replace("\"Window\": 5", "\"Window\": " + WINDOW_MS / 1000).replace("\"Effect\": \"token\"", "\"Effect\": \"" + effect + "\""),
-                door);
+        node = ServeProcess.start(folder, ServeProcess.config(listenerPort, outsideServer.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": 200")
+                .replace("\"Window\": 5", "\"Window\": " + DEDUPLICATION_WINDOW_MS / 1000).replace("\"Effect\": \"token\"", "\"Effect\": \"" + effect + "\""),
+                listenerPort);
     }
 
     /** The first byte of the answer; -1: it does not listen, or closed the connection. */
-    private int ask(String request) {
-        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+    private int firstReplyByte(String request) {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             int first = client.getInputStream().read();
-            if (first == '+' && behind == Behind.TAKEN && request.contains("m1")) {
+            if (first == '+' && killPoint == KillPoint.TAKEN && request.contains("m1")) {
                 node.destroyForcibly().waitFor();
                 killed.countDown();
             }
@@ -121,13 +121,13 @@
         }
     }
 
-    private int handIn(String id, int lifetimeMs) {
+    private int submit(String id, int lifetimeMs) {
         String terms = "c=order,t=shop,d=" + lifetimeMs + ",k=k-" + id.charAt(1) + ",dest=1";
-        return ask("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\n" + id + "\r\n$" + terms.length() + "\r\n" + terms + "\r\n$5\r\nhello\r\n");
+        return firstReplyByte("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\n" + id + "\r\n$" + terms.length() + "\r\n" + terms + "\r\n$5\r\nhello\r\n");
     }
 
     /** The notices up to that of m3, without it. Notices go out in the order of the endings. */
-    private List<String> noticesBeforeThatOfM3() throws InterruptedException {
+    private List<String> noticesBeforeM3() throws InterruptedException {
         List<String> before = new ArrayList<>();
         for (String notice = notices.poll(20, TimeUnit.SECONDS); notice != null; notice = notices.poll(20, TimeUnit.SECONDS)) {
             if (notice.startsWith("m3 ")) {
@@ -141,36 +141,36 @@
     @ParameterizedTest
     @CsvSource({"TAKEN, token", "LAST_BYTE, token", "ANSWER, token", "TAKEN, side_effect", "LAST_BYTE, side_effect",
         "ANSWER, side_effect"})
-    void whatWasOutAtTheKillIsNotSentAgainAndEndsTruly(Behind what, String effect) throws Exception {
-        behind = what;
+    void mailInFlightAtTheKillIsNotSentAgainAndIsReportedCorrectly(KillPoint what, String effect) throws Exception {
+        killPoint = what;
         start(effect);
-        handIn("m1", 15_000);
+        submit("m1", 15_000);
         assertThat(killed.await(20, TimeUnit.SECONDS)).isTrue();
-        Thread.sleep(2 * WINDOW_MS); // The window is over; a later start only is later still.
+        Thread.sleep(2 * DEDUPLICATION_WINDOW_MS); // The window is over; a later start only is later still.
         start(effect);
-        assertThat(handIn("m2", 15_000)).isEqualTo('+');
+        assertThat(submit("m2", 15_000)).isEqualTo('+');
         // Comes after the restart and ends a second later: what ends before it ends in time, many seconds before its own end.
-        assertThat(handIn("m3", 1000)).isEqualTo('+');
+        assertThat(submit("m3", 1000)).isEqualTo('+');
         String id = calls.poll(20, TimeUnit.SECONDS);
         int first = 0;
         for (; id != null && !id.equals("m2"); id = calls.poll(20, TimeUnit.SECONDS)) {
             first++;
         }
         assertThat(id).as("the next mail is called: the node serves").isEqualTo("m2");
-        List<String> before = noticesBeforeThatOfM3();
-        if (what == Behind.TAKEN && first == 0 && before.isEmpty()) {
+        List<String> before = noticesBeforeM3();
+        if (what == KillPoint.TAKEN && first == 0 && before.isEmpty()) {
             first += "m1".equals(calls.poll(20, TimeUnit.SECONDS)) ? 1 : 0;
         }
         String more = calls.poll(500, TimeUnit.MILLISECONDS);
         System.out.println(what + " " + effect + ": " + first + " calls of the mail, notices in time " + before);
         assertThat(more).as("a call more").isNull();
-        if (what == Behind.TAKEN) {
+        if (what == KillPoint.TAKEN) {
             // It was called once, by one process or the other, or its end is told.
             assertThat(first == 1 || !before.isEmpty()).isTrue();
         } else {
             assertThat(first).isEqualTo(1);
         }
-        if (what == Behind.LAST_BYTE || !before.isEmpty()) {
+        if (what == KillPoint.LAST_BYTE || !before.isEmpty()) {
             assertThat(before).as("told once and in time; it may have run: not harmless to hand in again").containsExactly("m1 undeliverable");
         }
         assertThat(notices.poll(500, TimeUnit.MILLISECONDS)).as("a notice more, or late").isNull();
--- a/app/src/test/java/wrenreach/app/WrongNode.java
+++ b/app/src/test/java/wrenreach/app/WrongNode.java
@@ -54,7 +54,7 @@
         if (wrong == Wrong.FORGETS_ITS_JOURNAL && Files.exists(state.resolve("journal"))) {
             Files.delete(state.resolve("journal"));
         }
-        DeliveryNode node = new DeliveryNode(config, ledger(wrong, Journal.open(state, config.diskBytes())), settings -> module(wrong, settings));
+        DeliveryNode node = new DeliveryNode(config, ledger(wrong, Journal.open(state, config.diskBytes())), settings -> faultyDispatcher(wrong, settings));
         Signal.handle(new Signal("TERM"), signal -> node.stop());
         node.start();
         System.exit(node.stopped().get(1, TimeUnit.HOURS));
@@ -75,7 +75,7 @@
         });
     }
 
-    private static Dispatcher module(Wrong wrong, Settings settings) {
+    private static Dispatcher faultyDispatcher(Wrong wrong, Settings settings) {
         DeliveryDispatcher sound = new DeliveryDispatcher(settings);
         return new Dispatcher() {
             private int count;
--- a/operator/src/main/java/wrenreach/operator/Key.java
+++ b/operator/src/main/java/wrenreach/operator/Key.java
@@ -13,13 +13,13 @@
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Key {
     /** Stands for a key that has no default: it has to be given. */
-    String NEEDED = "\0";
+    String REQUIRED = "\0";
 
     /** One line for who writes the file. */
     String about();
 
     /** The value where the file gives none, as it would stand there; lists are separated by commas. */
-    String byDefault() default NEEDED;
+    String byDefault() default REQUIRED;
 
     /** What a number counts. */
     Unit unit() default Unit.PLAIN;
--- a/operator/src/main/java/wrenreach/operator/OperatorFile.java
+++ b/operator/src/main/java/wrenreach/operator/OperatorFile.java
@@ -45,17 +45,17 @@
     /** One key whose value differs between two files; live: it takes effect at once. */
     public record Change(String key, String before, String after, boolean live) { }
 
-    private static final String ON = "on";
-    private static final int LIMIT = 1 << 20;
+    private static final String ENABLED_KEY = "on";
+    private static final int MAX_FILE_BYTES = 1 << 20;
 
     private final Path file;
-    private final Map<String, Section<?>> known;
-    private final Map<String, Record> on = new LinkedHashMap<>();
-    private final Map<String, Integer> given = new TreeMap<>();
+    private final Map<String, Section<?>> knownSections;
+    private final Map<String, Record> enabledSections = new LinkedHashMap<>();
+    private final Map<String, Integer> keyLines = new TreeMap<>();
 
     private OperatorFile(Path file, Map<String, Section<?>> known) {
         this.file = file;
-        this.known = known;
+        this.knownSections = known;
     }
 
     /** What stands where there is no file: nothing is on. */
@@ -66,8 +66,8 @@
     /** Reads a file against all sections that there are. */
     public static OperatorFile read(Path file, Collection<Section<?>> sections) throws InvalidFileException {
         try {
-            if (Files.size(file) > LIMIT) {
-                throw new IOException("larger than " + Unit.SIZE.format(LIMIT));
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new IOException("larger than " + Unit.SIZE.format(MAX_FILE_BYTES));
             }
             return parse(file, Files.readAllBytes(file), sections);
         } catch (IOException e) {
@@ -85,7 +85,7 @@
         try {
             String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
             JsonNode tree = new TomlMapper().readTree(text);
-            read.take(tree, new TomlLineIndex(text), faults);
+            read.load(tree, new TomlLineIndex(text), faults);
         } catch (CharacterCodingException e) {
             faults.add(new FileProblem(0, "", "is not UTF-8"));
         } catch (JsonProcessingException e) {
@@ -99,58 +99,58 @@
         return read;
     }
 
-    private void take(JsonNode tree, TomlLineIndex places, List<FileProblem> faults) {
+    private void load(JsonNode tree, TomlLineIndex places, List<FileProblem> faults) {
         tree.fields().forEachRemaining(table -> {
             String name = table.getKey();
-            Section<?> section = known.get(name);
+            Section<?> section = knownSections.get(name);
             if (section == null) {
-                faults.add(new FileProblem(places.line(name), name, "is not known" + Nearest.hint(name, known.keySet())));
+                faults.add(new FileProblem(places.lineOf(name), name, "is not known" + NameSuggestion.hint(name, knownSections.keySet())));
             } else if (!table.getValue().isObject()) {
-                faults.add(new FileProblem(places.line(name), name, "is a table: [" + name + "]"));
+                faults.add(new FileProblem(places.lineOf(name), name, "is a table: [" + name + "]"));
             } else {
-                take(section, table.getValue(), places, faults);
+                load(section, table.getValue(), places, faults);
             }
         });
     }
 
-    private void take(Section<?> section, JsonNode table, TomlLineIndex places, List<FileProblem> faults) {
+    private void load(Section<?> section, JsonNode table, TomlLineIndex places, List<FileProblem> faults) {
         List<String> names = new ArrayList<>(section.entries().stream().map(Section.Entry::name).toList());
-        names.add(ON);
+        names.add(ENABLED_KEY);
         table.fieldNames().forEachRemaining(key -> {
             String path = section.name() + "." + key;
-            given.put(path, places.line(path));
+            keyLines.put(path, places.lineOf(path));
             if (!names.contains(key)) {
-                faults.add(new FileProblem(places.line(path), path, "is not known" + Nearest.hint(key, names)));
+                faults.add(new FileProblem(places.lineOf(path), path, "is not known" + NameSuggestion.hint(key, names)));
             }
         });
-        JsonNode on = table.get(ON);
+        JsonNode on = table.get(ENABLED_KEY);
         if (on != null && !on.isBoolean()) {
-            String path = section.name() + "." + ON;
-            faults.add(new FileProblem(places.line(path), path, "is true or false, not " + on));
+            String path = section.name() + "." + ENABLED_KEY;
+            faults.add(new FileProblem(places.lineOf(path), path, "is true or false, not " + on));
         }
         Record record = section.read(table, fault -> {
             String path = section.name() + (fault.key().isEmpty() ? "" : "." + fault.key());
-            faults.add(new FileProblem(places.line(path), path, fault.problem()));
+            faults.add(new FileProblem(places.lineOf(path), path, fault.problem()));
         });
         if (record != null && (on == null || on.booleanValue())) {
-            this.on.put(section.name(), record);
+            this.enabledSections.put(section.name(), record);
         }
     }
 
     /** What a section says, where it is on. */
     public <S extends Record> Optional<S> section(Section<S> section) {
-        return Optional.ofNullable(on.get(section.name())).map(section.type()::cast);
+        return Optional.ofNullable(enabledSections.get(section.name())).map(section.type()::cast);
     }
 
     /** Every value in force, section by section; those of sections that are off are left out. */
     public List<EffectiveValue> effectiveValues() {
         List<EffectiveValue> all = new ArrayList<>();
-        on.forEach((name, record) -> {
-            Section<?> section = known.get(name);
+        enabledSections.forEach((name, record) -> {
+            Section<?> section = knownSections.get(name);
             for (Section.Entry entry : section.entries()) {
                 String path = name + "." + entry.name();
-                Integer line = given.get(path);
-                all.add(new EffectiveValue(path, section.written(record, entry), line == null ? "default" : file + ":" + line,
+                Integer line = keyLines.get(path);
+                all.add(new EffectiveValue(path, section.formattedValue(record, entry), line == null ? "default" : file + ":" + line,
                         entry.key().about()));
             }
         });
@@ -160,11 +160,11 @@
     /** What differs in the newer file; a section that is only now on or off is one change, of its name. */
     public List<Change> changes(OperatorFile newer) {
         List<Change> all = new ArrayList<>();
-        Map<String, Section<?>> sections = new LinkedHashMap<>(known);
-        sections.putAll(newer.known);
+        Map<String, Section<?>> sections = new LinkedHashMap<>(knownSections);
+        sections.putAll(newer.knownSections);
         for (Section<?> section : sections.values()) {
-            Record before = on.get(section.name());
-            Record after = newer.on.get(section.name());
+            Record before = enabledSections.get(section.name());
+            Record after = newer.enabledSections.get(section.name());
             if (before == null || after == null) {
                 if (before != after) {
                     all.add(new Change(section.name(), before == null ? "off" : "on", after == null ? "off" : "on", false));
@@ -172,8 +172,8 @@
                 continue;
             }
             for (Section.Entry entry : section.entries()) {
-                String was = section.written(before, entry);
-                String is = section.written(after, entry);
+                String was = section.formattedValue(before, entry);
+                String is = section.formattedValue(after, entry);
                 if (!was.equals(is)) {
                     all.add(new Change(section.name() + "." + entry.name(), was, is, entry.key().live()));
                 }
--- a/operator/src/main/java/wrenreach/operator/Section.java
+++ b/operator/src/main/java/wrenreach/operator/Section.java
@@ -18,12 +18,12 @@
  * IllegalArgumentException.
  */
 public record Section<S extends Record>(String name, Class<S> type) {
-    private static final Pattern CAPITAL = Pattern.compile("(?=[A-Z])");
+    private static final Pattern BEFORE_CAPITAL = Pattern.compile("(?=[A-Z])");
 
     /** One key of a section. */
-    record Entry(String name, Key key, Class<?> type, boolean numbers) {
+    record Entry(String name, Key key, Class<?> type, boolean integerList) {
         /** The value that a text stands for. */
-        Object read(String text) {
+        Object parse(String text) {
             if (type == boolean.class) {
                 return Boolean.valueOf(text);
             } else if (type == double.class) {
@@ -36,18 +36,18 @@
                 return Path.of(text);
             } else if (type == List.class) {
                 List<String> parts = text.isEmpty() ? List.of() : List.of(text.split(","));
-                return numbers ? parts.stream().map(Integer::valueOf).toList() : parts;
+                return integerList ? parts.stream().map(Integer::valueOf).toList() : parts;
             }
             return text;
         }
 
         /** The value as it would stand in the file. */
-        String write(Object value) {
+        String format(Object value) {
             if (value instanceof Number number && type != double.class) {
                 return key.unit() == Unit.PLAIN ? value.toString() : '"' + key.unit().format(number.longValue()) + '"';
             } else if (value instanceof List<?> list) {
                 return "[" + String.join(", ", list.stream()
-                        .map(one -> numbers ? one.toString() : "\"" + one + "\"").toList()) + "]";
+                        .map(one -> integerList ? one.toString() : "\"" + one + "\"").toList()) + "]";
             }
             return value instanceof String || value instanceof Path ? "\"" + value + "\"" : String.valueOf(value);
         }
@@ -58,7 +58,7 @@
     }
 
     private static Entry entry(RecordComponent component) {
-        String name = String.join("_", CAPITAL.split(component.getName())).toLowerCase(Locale.ROOT);
+        String name = String.join("_", BEFORE_CAPITAL.split(component.getName())).toLowerCase(Locale.ROOT);
         return new Entry(name, component.getAnnotation(Key.class), component.getType(),
                 component.getGenericType().getTypeName().endsWith("<java.lang.Integer>"));
     }
@@ -95,10 +95,10 @@
         Key key = entry.key;
         try {
             if (given == null) {
-                if (key.byDefault().equals(Key.NEEDED)) {
+                if (key.byDefault().equals(Key.REQUIRED)) {
                     throw new IllegalArgumentException("is missing: " + key.about());
                 }
-                return entry.read(key.byDefault());
+                return entry.parse(key.byDefault());
             }
             Object value = convert(entry, given);
             check(entry, value);
@@ -122,12 +122,12 @@
                 && given.canConvertToLong()) {
             return given.longValue();
         } else if ((type == long.class || type == int.class) && entry.key.unit() != Unit.PLAIN && given.isTextual()) {
-            return entry.read(given.textValue());
+            return entry.parse(given.textValue());
         } else if (type == String.class && given.isTextual()) {
             return given.textValue();
         } else if (type == Path.class && given.isTextual() && !given.textValue().isEmpty()) {
             return Path.of(given.textValue());
-        } else if (type == List.class && given.isArray() && entry.numbers) {
+        } else if (type == List.class && given.isArray() && entry.integerList) {
             List<Integer> all = new ArrayList<>();
             for (JsonNode one : given) {
                 if (!one.isIntegralNumber() || !one.canConvertToInt()) {
@@ -147,9 +147,9 @@
             return List.copyOf(texts);
         }
         String form = type == boolean.class ? "true or false" : type == String.class ? "a text in quotes"
-                : type == Path.class ? "the path of a file in quotes" : type == List.class ? entry.numbers ? "a list of whole numbers" : "a list of texts"
+                : type == Path.class ? "the path of a file in quotes" : type == List.class ? entry.integerList ? "a list of whole numbers" : "a list of texts"
                 : type == double.class ? "a number" : entry.key.unit() == Unit.PLAIN ? "a whole number"
-                : entry.key.unit().form();
+                : entry.key.unit().expectedForm();
         throw new IllegalArgumentException("is " + form + ", not " + given);
     }
 
@@ -157,22 +157,22 @@
         Key key = entry.key;
         if (key.oneOf().length > 0 && !List.of(key.oneOf()).contains(value.toString())) {
             throw new IllegalArgumentException("is one of " + String.join(", ", key.oneOf()) + ", not " + value
-                    + Nearest.hint(value.toString(), List.of(key.oneOf())));
+                    + NameSuggestion.hint(value.toString(), List.of(key.oneOf())));
         }
         if (value instanceof Number number) {
             if (!Double.isFinite(number.doubleValue())) {
                 throw new IllegalArgumentException("is not a finite number");
             }
-            bound(entry, number, key.least(), true);
-            bound(entry, number, key.most(), false);
+            checkBound(entry, number, key.least(), true);
+            checkBound(entry, number, key.most(), false);
         }
     }
 
-    private static void bound(Entry entry, Number value, String limit, boolean least) {
+    private static void checkBound(Entry entry, Number value, String limit, boolean least) {
         if (!limit.isEmpty()) {
-            int order = Double.compare(value.doubleValue(), ((Number) entry.read(limit)).doubleValue());
+            int order = Double.compare(value.doubleValue(), ((Number) entry.parse(limit)).doubleValue());
             if (least ? order < 0 : order > 0) {
-                throw new IllegalArgumentException("is " + entry.write(value) + ", but at " + (least ? "least " : "most ")
+                throw new IllegalArgumentException("is " + entry.format(value) + ", but at " + (least ? "least " : "most ")
                         + limit + " is allowed");
             }
         }
@@ -183,7 +183,7 @@
      * subsystem against half a change; where the two don't go together, what was in force stays.
      */
     @SuppressWarnings("unchecked")
-    public S reloaded(Record inForce, Record newer) {
+    public S mergeReloaded(Record inForce, Record newer) {
         try {
             RecordComponent[] components = type.getRecordComponents();
             Object[] values = new Object[components.length];
@@ -204,12 +204,12 @@
     }
 
     /** The value of a key, as it would stand in the file. */
-    String written(Record section, Entry entry) {
+    String formattedValue(Record section, Entry entry) {
         try {
             for (RecordComponent component : type.getRecordComponents()) {
                 if (entry(component).name.equals(entry.name)) {
                     component.getAccessor().setAccessible(true);
-                    return entry.write(component.getAccessor().invoke(section));
+                    return entry.format(component.getAccessor().invoke(section));
                 }
             }
             throw new IllegalArgumentException(entry.name);
--- a/operator/src/main/java/wrenreach/operator/TomlLineIndex.java
+++ b/operator/src/main/java/wrenreach/operator/TomlLineIndex.java
@@ -11,8 +11,8 @@
  * lines need to be told apart. A key that is not found (an inline table's) has its table's line.
  */
 final class TomlLineIndex {
-    private static final Pattern HEAD = Pattern.compile("\\s*\\[\\[?\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
-    private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_.\"'\\s-]+?)\\s*=(.*)");
+    private static final Pattern TABLE_HEADER = Pattern.compile("\\s*\\[\\[?\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
+    private static final Pattern KEY_AND_VALUE = Pattern.compile("\\s*([A-Za-z0-9_.\"'\\s-]+?)\\s*=(.*)");
 
     private final Map<String, Integer> lines = new HashMap<>();
 
@@ -32,17 +32,17 @@
                 rest = line.substring(end + 3);
                 fence = null;
             } else if (open == 0) {
-                Matcher head = HEAD.matcher(line);
-                Matcher key = KEY.matcher(line);
+                Matcher head = TABLE_HEADER.matcher(line);
+                Matcher key = KEY_AND_VALUE.matcher(line);
                 if (head.matches()) {
-                    table = plain(head.group(1));
+                    table = withoutQuotes(head.group(1));
                     lines.putIfAbsent(table, number);
                     continue;
                 }
                 if (!key.matches()) {
                     continue;
                 }
-                lines.putIfAbsent((table.isEmpty() ? "" : table + ".") + plain(key.group(1)), number);
+                lines.putIfAbsent((table.isEmpty() ? "" : table + ".") + withoutQuotes(key.group(1)), number);
                 rest = key.group(2);
             }
             for (int i = 0; i < rest.length(); i++) {
@@ -59,7 +59,7 @@
                         }
                         i = end + 2;
                     } else {
-                        i = closing(rest, i);
+                        i = closingQuote(rest, i);
                     }
                 } else if (c == '[' || c == '{') {
                     open++;
@@ -70,7 +70,7 @@
         }
     }
 
-    private static int closing(String text, int from) {
+    private static int closingQuote(String text, int from) {
         char quote = text.charAt(from);
         int i = from + 1;
         while (i < text.length() && text.charAt(i) != quote) {
@@ -79,12 +79,12 @@
         return i;
     }
 
-    private static String plain(String name) {
+    private static String withoutQuotes(String name) {
         return name.replaceAll("[\"'\\s]", "");
     }
 
     /** The line of a key's path, or of what it stands in; 0: unknown. */
-    int line(String path) {
+    int lineOf(String path) {
         for (String at = path; !at.isEmpty(); at = at.contains(".") ? at.substring(0, at.lastIndexOf('.')) : "") {
             Integer line = lines.get(at);
             if (line != null) {
--- a/operator/src/main/java/wrenreach/operator/Unit.java
+++ b/operator/src/main/java/wrenreach/operator/Unit.java
@@ -10,23 +10,23 @@
     /** A number as it stands. */
     PLAIN("a number", Map.of()),
     /** Whole microseconds inside. */
-    DURATION("a time such as \"500ms\" (us, ms, s, m, h)", ordered("h", 3_600_000_000L, "m", 60_000_000L,
+    DURATION("a time such as \"500ms\" (us, ms, s, m, h)", orderedFactors("h", 3_600_000_000L, "m", 60_000_000L,
             "s", 1_000_000L, "ms", 1000L, "us", 1L)),
     /** Bytes inside. */
-    SIZE("a size such as \"64KiB\" (B, KiB, MiB, GiB)", ordered("GiB", 1L << 30, "MiB", 1L << 20, "KiB", 1L << 10,
+    SIZE("a size such as \"64KiB\" (B, KiB, MiB, GiB)", orderedFactors("GiB", 1L << 30, "MiB", 1L << 20, "KiB", 1L << 10,
             "B", 1L));
 
     private static final Pattern NUMBER = Pattern.compile("([0-9]{1,15})([A-Za-z]+)");
 
-    private final String form;
-    private final Map<String, Long> steps;
+    private final String expectedForm;
+    private final Map<String, Long> factors;
 
     Unit(String form, Map<String, Long> steps) {
-        this.form = form;
-        this.steps = steps;
+        this.expectedForm = form;
+        this.factors = steps;
     }
 
-    private static Map<String, Long> ordered(Object... namesAndValues) {
+    private static Map<String, Long> orderedFactors(Object... namesAndValues) {
         Map<String, Long> steps = new LinkedHashMap<>();
         for (int i = 0; i < namesAndValues.length; i += 2) {
             steps.put((String) namesAndValues[i], (Long) namesAndValues[i + 1]);
@@ -35,8 +35,8 @@
     }
 
     /** What a value has to look like. */
-    String form() {
-        return form;
+    String expectedForm() {
+        return expectedForm;
     }
 
     /** The number that a text stands for; IllegalArgumentException says what it should look like. */
@@ -45,11 +45,11 @@
         if (this == PLAIN) {
             return Long.parseLong(text.strip());
         }
-        if (!parts.matches() || !steps.containsKey(parts.group(2))) {
-            throw new IllegalArgumentException("is " + form + ", not \"" + text + "\"");
+        if (!parts.matches() || !factors.containsKey(parts.group(2))) {
+            throw new IllegalArgumentException("is " + expectedForm + ", not \"" + text + "\"");
         }
         try {
-            return Math.multiplyExact(Long.parseLong(parts.group(1)), steps.get(parts.group(2)));
+            return Math.multiplyExact(Long.parseLong(parts.group(1)), factors.get(parts.group(2)));
         } catch (ArithmeticException e) {
             throw new IllegalArgumentException("\"" + text + "\" is too large", e);
         }
@@ -57,7 +57,7 @@
 
     /** The shortest text that stands for the number. */
     public String format(long value) {
-        for (Map.Entry<String, Long> step : steps.entrySet()) {
+        for (Map.Entry<String, Long> step : factors.entrySet()) {
             if (value != 0 && value % step.getValue() == 0) {
                 return value / step.getValue() + step.getKey();
             }
--- a/operator/src/test/java/wrenreach/operator/OperatorFileTest.java
+++ b/operator/src/test/java/wrenreach/operator/OperatorFileTest.java
@@ -40,7 +40,7 @@
         return OperatorFile.parse(FILE, text.getBytes(StandardCharsets.UTF_8), List.of(SAMPLE, OTHER));
     }
 
-    private static List<String> faults(String text) {
+    private static List<String> problems(String text) {
         try {
             parse(text);
             return List.of();
@@ -69,8 +69,8 @@
                         "sample.count 3 default");
     }
 
-    @Test void everyFaultIsToldAtOnceWithItsLineAndTheNearestName() {
-        assertThat(faults("""
+    @Test void allProblemsAreReportedAtOnceWithLineAndSuggestion() {
+        assertThat(problems("""
                 [sampel]
                 [other]
                 loud = "yes"
@@ -103,18 +103,18 @@
         "[sample]\\nfolder='f'\\nshare=inf | own.toml:3: sample.share: is not a finite number",
         "[sample]\\non = 1\\nfolder='f' | own.toml:2: sample.on: is true or false, not 1",
     })
-    void oneFaultHasOneLine(String text, String fault) {
-        assertThat(faults(text.replace("\\n", "\n"))).containsExactly(fault);
+    void eachProblemIsReportedAsOneLine(String text, String fault) {
+        assertThat(problems(text.replace("\\n", "\n"))).containsExactly(fault);
     }
 
     /** Guards against files that are no TOML: the line is told, cut anywhere it is never half used. */
-    @Test void whatIsNoTomlIsOneFaultWithItsLine() {
-        assertThat(faults("[sample]\nfolder = \"f\"\ncount = = 3\n").get(0)).startsWith("own.toml:3: can't be read as TOML");
-        assertThat(faults("[sample]\nfolder = 'f'\nfolder = 'g'\n").get(0)).startsWith("own.toml:").contains("TOML");
+    @Test void invalidTomlIsOneProblemWithItsLine() {
+        assertThat(problems("[sample]\nfolder = \"f\"\ncount = = 3\n").get(0)).startsWith("own.toml:3: can't be read as TOML");
+        assertThat(problems("[sample]\nfolder = 'f'\nfolder = 'g'\n").get(0)).startsWith("own.toml:").contains("TOML");
         String whole = "[other]\nloud = true\n[sample]\nfolder = \"f\"\nnames = [\"\"\"a\n[x]\nb = 3\"\"\", 'c']\n";
-        assertThat(faults(whole)).isEmpty();
+        assertThat(problems(whole)).isEmpty();
         for (int cut = 0; cut < whole.length(); cut++) {
-            for (String fault : faults(whole.substring(0, cut))) {
+            for (String fault : problems(whole.substring(0, cut))) {
                 assertThat(fault).startsWith("own.toml");
             }
         }
@@ -124,7 +124,7 @@
         assertThatThrownBy(() -> OperatorFile.read(folder, List.of())).hasMessageContaining("can't be read");
     }
 
-    @Test void aReloadTellsWhatChangedAndWhatNeedsARestart() throws Exception {
+    @Test void aReloadReportsChangesAndWhichNeedARestart() throws Exception {
         OperatorFile before = parse("[sample]\nfolder='f'\n");
         assertThat(before.changes(parse("[sample]\nfolder='f'\nlook_every='2s'"))).isEmpty();
         assertThat(before.changes(parse("[sample]\nfolder='g'\nlook_every='3s'\n[other]\n"))).containsExactly(
@@ -133,7 +133,7 @@
                 new OperatorFile.Change("other", "off", "on", false));
         Sample inForce = before.section(SAMPLE).orElseThrow();
         Sample newer = parse("[sample]\nfolder='g'\nlook_every='3s'\ncount=4").section(SAMPLE).orElseThrow();
-        assertThat(SAMPLE.reloaded(inForce, newer)).isEqualTo(
+        assertThat(SAMPLE.mergeReloaded(inForce, newer)).isEqualTo(
                 new Sample(3_000_000, 65_536, 0.5, "all", Path.of("f"), List.of(), 3));
         assertThat(OperatorFile.none().changes(before)).containsExactly(
                 new OperatorFile.Change("sample", "off", "on", false));
@@ -141,7 +141,7 @@
                 new OperatorFile.Change("sample", "on", "off", false));
     }
 
-    @Test void aTextOfAUnitIsReadAsItIsWritten() throws Exception {
+    @Test void formattedUnitsAreParsedBack() throws Exception {
         Files.writeString(folder.resolve("own.toml"), "[sample]\nfolder='f'\n");
         assertThat(OperatorFile.read(folder.resolve("own.toml"), List.of(SAMPLE)).section(SAMPLE)).isPresent();
         for (long value : new long[] {0, 1, 999, 1000, 1024, 60_000_000, 3_600_000_000L, 1L << 30}) {
--- a/wire/src/main/java/wrenreach/wire/FrameReader.java
+++ b/wire/src/main/java/wrenreach/wire/FrameReader.java
@@ -10,16 +10,16 @@
 
 /** Reads batches of events from a stream. */
 public final class FrameReader {
-    private static final int HEADER = 16;
-    private static final int ENTRY = 23;
-    private static final int ROSTERS = 16;
-    private static final double MICROS = 1e6;
+    private static final int HEADER_BYTES = 16;
+    private static final int HOST_BYTES = 23;
+    private static final int ROSTER_LIMIT = 16;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final InputStream in;
     private ByteBuffer frame;
-    private String record;
-    private int start;
-    private int fieldAt;
+    private String recordLabel;
+    private int recordStart;
+    private int fieldStart;
 
     public FrameReader(InputStream in) {
         this.in = in;
@@ -27,25 +27,25 @@
 
     /** The next batch, or null at the end of input between frames. */
     public Event.Batch read() throws IOException {
-        byte[] head = in.readNBytes(HEADER);
+        byte[] head = in.readNBytes(HEADER_BYTES);
         if (head.length == 0) {
             return null;
         }
-        if (head.length < HEADER) {
-            throw new WireException("batch header at byte " + head.length + ": expected " + HEADER
+        if (head.length < HEADER_BYTES) {
+            throw new WireException("batch header at byte " + head.length + ": expected " + HEADER_BYTES
                     + " bytes, input ended");
         }
         ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
-        long clock = micros(header.getDouble());
+        long clock = toMicros(header.getDouble());
         long length = Integer.toUnsignedLong(header.getInt()) - 4;
         long count = Integer.toUnsignedLong(header.getInt());
-        if (length < 0 || length > Integer.MAX_VALUE - HEADER) {
+        if (length < 0 || length > Integer.MAX_VALUE - HEADER_BYTES) {
             throw new WireException("batch header at byte 8: expected a length of 4 to 2147483631, got "
                     + (length + 4));
         }
         byte[] body = in.readNBytes((int) length);
         if (body.length < length) {
-            throw new WireException("batch at byte " + (HEADER + body.length) + ": expected " + length
+            throw new WireException("batch at byte " + (HEADER_BYTES + body.length) + ": expected " + length
                     + " bytes of records, input ended");
         }
         frame = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
@@ -54,36 +54,36 @@
             events.add(event(i));
         }
         if (frame.hasRemaining()) {
-            throw new WireException("batch at byte " + (HEADER + frame.position()) + ": expected its end after "
+            throw new WireException("batch at byte " + (HEADER_BYTES + frame.position()) + ": expected its end after "
                     + count + " records, got " + frame.remaining() + " bytes more");
         }
         return new Event.Batch(clock, events);
     }
 
     private Event event(long index) throws WireException {
-        start = frame.position();
-        record = "record " + index;
+        recordStart = frame.position();
+        recordLabel = "record " + index;
         int code = u8("an event code");
-        record += " (" + name(code) + ")";
+        recordLabel += " (" + recordName(code) + ")";
         return switch (code) {
             case 1 -> new Event.Enlist(u16("NodeId"), i64("Seed"), text());
             case 2 -> new Event.View(u16("NodeId"), scope(), i64("Version"), u16("RosterId"));
             case 3 -> new Event.Req(u16("NodeId"), i64("Call"), Math.round((float) f32("DestNo")), u16("Type"),
-                    i64("Subject"), u8("Opts"), afterHint(), u32("ClientGroup"));
+                    i64("Subject"), u8("Opts"), expiresInAfterHint(), u32("ClientGroup"));
             case 4 -> accepted();
             case 5 -> new Event.Response(u16("NodeId"), i64("Call"), u16("N"), endpoint(), result(),
-                    afterTimeTaken(), u32("Detail"), feedback());
+                    doneFlagAfterTimeTaken(), u32("Detail"), feedback());
             case 6 -> new Event.Cancelled(u16("NodeId"), i64("Call"));
             case 7 -> new Event.Ring(u16("NodeId"), u32("Label"));
             case 8 -> probed();
             case 9 -> peerData();
             case 10 -> new Event.Stop(u16("NodeId"));
             case 11 -> new Event.Manifest(roster(), hosts());
-            default -> throw bad(start, "an event code from 1 to 11, got " + code);
+            default -> throw malformed(recordStart, "an event code from 1 to 11, got " + code);
         };
     }
 
-    private static String name(int code) {
+    private static String recordName(int code) {
         String[] names = {"?", "enlist", "view", "req", "accepted", "response", "cancelled_by_client", "ring",
             "probed", "peer_data", "stop", "manifest"};
         return code < names.length ? names[code] : "?";
@@ -112,44 +112,44 @@
         return data;
     }
 
-    private long afterHint() throws WireException {
+    private long expiresInAfterHint() throws WireException {
         f64("Hint");
-        return micros(f64("ExpiresIn"));
+        return toMicros(f64("ExpiresIn"));
     }
 
-    private boolean afterTimeTaken() throws WireException {
+    private boolean doneFlagAfterTimeTaken() throws WireException {
         f64("TimeTaken");
         return u8("DoneFlag") != 0;
     }
 
     private int scope() throws WireException {
-        return upTo(3, "Scope", u8At("Scope"));
+        return checkMaximum(3, "Scope", markedU8("Scope"));
     }
 
     private int result() throws WireException {
-        return upTo(7, "Result", u8At("Result"));
+        return checkMaximum(7, "Result", markedU8("Result"));
     }
 
     private int roster() throws WireException {
-        fieldAt = frame.position();
-        return upTo(ROSTERS - 1, "list number", u16("RosterId"));
+        fieldStart = frame.position();
+        return checkMaximum(ROSTER_LIMIT - 1, "list number", u16("RosterId"));
     }
 
-    private int u8At(String what) throws WireException {
-        fieldAt = frame.position();
+    private int markedU8(String what) throws WireException {
+        fieldStart = frame.position();
         return u8(what);
     }
 
-    private int upTo(int most, String what, int value) throws WireException {
+    private int checkMaximum(int most, String what, int value) throws WireException {
         if (value > most) {
-            throw bad(fieldAt, "a " + what + " from 0 to " + most + ", got " + value);
+            throw malformed(fieldStart, "a " + what + " from 0 to " + most + ", got " + value);
         }
         return value;
     }
 
     private List<Event.Host> hosts() throws WireException {
         long count = u32("a count of Hosts");
-        need(count * ENTRY, count + " entries of " + ENTRY + " bytes");
+        requireBytes(count * HOST_BYTES, count + " entries of " + HOST_BYTES + " bytes");
         List<Event.Host> hosts = new ArrayList<>((int) count);
         for (long i = 0; i < count; i++) {
             int dest = u16("Dest");
@@ -173,7 +173,7 @@
     }
 
     private long endpoint() throws WireException {
-        need(6, "an endpoint of 6 bytes");
+        requireBytes(6, "an endpoint of 6 bytes");
         long address = 0;
         for (int i = 0; i < 4; i++) {
             address = address << 8 | frame.get() & 0xff;
@@ -183,59 +183,59 @@
 
     private String text() throws WireException {
         long count = u32("a count of Conf");
-        need(count, count + " bytes of Conf");
+        requireBytes(count, count + " bytes of Conf");
         byte[] bytes = new byte[(int) count];
         frame.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
     private void skip(int count, String what) throws WireException {
-        need(count, count + " bytes of " + what);
+        requireBytes(count, count + " bytes of " + what);
         frame.position(frame.position() + count);
     }
 
     private int u8(String what) throws WireException {
-        need(1, what);
+        requireBytes(1, what);
         return frame.get() & 0xff;
     }
 
     private int u16(String what) throws WireException {
-        need(2, what);
+        requireBytes(2, what);
         return frame.getShort() & 0xffff;
     }
 
     private long u32(String what) throws WireException {
-        need(4, what);
+        requireBytes(4, what);
         return Integer.toUnsignedLong(frame.getInt());
     }
 
     private long i64(String what) throws WireException {
-        need(8, what);
+        requireBytes(8, what);
         return frame.getLong();
     }
 
     private double f32(String what) throws WireException {
-        need(4, what);
+        requireBytes(4, what);
         return frame.getFloat();
     }
 
     private double f64(String what) throws WireException {
-        need(8, what);
+        requireBytes(8, what);
         return frame.getDouble();
     }
 
-    private void need(long bytes, String what) throws WireException {
+    private void requireBytes(long bytes, String what) throws WireException {
         if (frame.remaining() < bytes) {
-            throw bad(frame.position(), what + ", the frame ended");
+            throw malformed(frame.position(), what + ", the frame ended");
         }
     }
 
-    private WireException bad(int at, String expected) {
-        return new WireException(record + " at byte " + (HEADER + start) + ", field at byte " + (HEADER + at)
+    private WireException malformed(int at, String expected) {
+        return new WireException(recordLabel + " at byte " + (HEADER_BYTES + recordStart) + ", field at byte " + (HEADER_BYTES + at)
                 + ": expected " + expected);
     }
 
-    static long micros(double seconds) {
-        return Math.round(seconds * MICROS);
+    static long toMicros(double seconds) {
+        return Math.round(seconds * MICROS_PER_SECOND);
     }
 }
--- a/wire/src/main/java/wrenreach/wire/ReplyWriter.java
+++ b/wire/src/main/java/wrenreach/wire/ReplyWriter.java
@@ -8,44 +8,44 @@
 
 /** Collects the actions of a reply and writes it as a frame. */
 public final class ReplyWriter {
-    private static final int MOST_TEXT = 0xffff;
-    private static final double MICROS = 1e6;
+    private static final int MAX_TEXT_BYTES = 0xffff;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
 
     public void callOut(int node, long call, long endpoint, long cutAt) {
-        start(74, node).putLong(call);
-        endpoint(endpoint).putDouble(cutAt / MICROS);
+        startRecord(74, node).putLong(call);
+        endpoint(endpoint).putDouble(cutAt / MICROS_PER_SECOND);
     }
 
     public void revoke(int node, long call, int number) {
-        start(68, node).putLong(call).putShort((short) number);
+        startRecord(68, node).putLong(call).putShort((short) number);
     }
 
     public void reject(int node, long call, long holdOff) {
-        start(67, node).putLong(call).putDouble(holdOff / MICROS);
+        startRecord(67, node).putLong(call).putDouble(holdOff / MICROS_PER_SECOND);
     }
 
     public void fail(int node, long call) {
-        start(75, node).putLong(call);
+        startRecord(75, node).putLong(call);
     }
 
     public void notifyMe(int node, int label, long offset) {
-        start(73, node).putInt(label).putDouble(offset / MICROS);
+        startRecord(73, node).putInt(label).putDouble(offset / MICROS_PER_SECOND);
     }
 
     public void release(int node, long endpoint) {
-        start(65, node);
+        startRecord(65, node);
         endpoint(endpoint);
     }
 
     public void track(int node) {
-        start(71, node).put((byte) 1);
+        startRecord(71, node).put((byte) 1);
     }
 
     public void listAll(int node) {
-        start(70, node);
+        startRecord(70, node);
     }
 
     public void journalLine(int node, String text) {
@@ -69,17 +69,17 @@
 
     private void text(int code, int node, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(bytes.length, MOST_TEXT);
+        int length = Math.min(bytes.length, MAX_TEXT_BYTES);
         while (length < bytes.length && (bytes[length] & 0xc0) == 0x80) {
             length--;
         }
-        start(code, node);
-        room(length + 2);
+        startRecord(code, node);
+        ensureCapacity(length + 2);
         body.putShort((short) length).put(bytes, 0, length);
     }
 
-    private ByteBuffer start(int code, int node) {
-        room(64);
+    private ByteBuffer startRecord(int code, int node) {
+        ensureCapacity(64);
         records++;
         return body.put((byte) code).putShort((short) node);
     }
@@ -91,7 +91,7 @@
         return body.putShort((short) endpoint);
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (body.remaining() < bytes) {
             body = ByteBuffer.allocate(Math.max(body.capacity() * 2, body.position() + bytes))
                     .order(ByteOrder.LITTLE_ENDIAN).put(body.flip());
--- a/wire/src/main/java/wrenreach/wirehost/Node.java
+++ b/wire/src/main/java/wrenreach/wirehost/Node.java
@@ -20,16 +20,16 @@
 /** One life of one delivery node: its module and the objects that the wire's ids stand for. */
 final class Node {
     final int number;
-    private final int life;
-    private final Dispatcher module;
+    private final int incarnation;
+    private final Dispatcher dispatcher;
     private final Map<Long, Mail> mails = new HashMap<>();
     private final Directory<Long> directory = new Directory<>();
-    private final List<Action> answers = new ArrayList<>();
+    private final List<Action> actions = new ArrayList<>();
 
     Node(int number, int life, Dispatcher module) {
         this.number = number;
-        this.life = life;
-        this.module = module;
+        this.incarnation = life;
+        this.dispatcher = module;
     }
 
     void view(Event.View view, List<Event.Host> hosts, long now) {
@@ -40,7 +40,7 @@
                     () -> new Endpoint(host.endpoint(), to, host.sku(), host.zone()));
             entries.add(new EndpointUpdate.Entry(endpoint, state(host.availability()), host.share()));
         }
-        answers.addAll(module.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.values()[view.scope()], entries), now));
+        actions.addAll(dispatcher.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.values()[view.scope()], entries), now));
     }
 
     void req(Event.Req req, long now) {
@@ -48,7 +48,7 @@
         Mail mail = new Mail(req.call(), directory.destination(req.dest()), key, req.type(), (int) req.client(), now,
                 now + req.expiresIn());
         mails.put(req.call(), mail);
-        answers.addAll(module.admit(mail, now));
+        actions.addAll(dispatcher.admit(mail, now));
     }
 
     void response(Event.Response response, long now) {
@@ -57,25 +57,25 @@
             return;
         }
         DeliveryAttempt connect = mail.attempts.get(response.number());
-        answers.addAll(module.attemptEnded(connect, outcome(response), response.feedback(), response.done(), now));
-        forget(mail, response.call());
+        actions.addAll(dispatcher.attemptEnded(connect, outcome(response), response.feedback(), response.done(), now));
+        removeIfFinished(mail, response.call());
     }
 
     void cancelled(Event.Cancelled cancelled, long now) {
         Mail mail = mails.get(cancelled.call());
         if (mail != null) {
-            answers.addAll(module.withdrawn(mail, now));
-            forget(mail, cancelled.call());
+            actions.addAll(dispatcher.withdrawn(mail, now));
+            removeIfFinished(mail, cancelled.call());
         }
     }
 
-    void next(long now) {
+    void collectNextActions(long now) {
         directory.sweep(now);
-        answers.addAll(module.nextActions(now));
+        actions.addAll(dispatcher.nextActions(now));
     }
 
-    void write(ReplyWriter reply) {
-        for (Action answer : answers) {
+    void writeActions(ReplyWriter reply) {
+        for (Action answer : actions) {
             if (answer instanceof Action.Send send) {
                 DeliveryAttempt connect = send.attempt();
                 reply.callOut(number, connect.mail.id, connect.endpoint.address, connect.timeoutAt);
@@ -83,12 +83,12 @@
                 reply.revoke(number, revoke.attempt().mail.id, revoke.attempt().number);
             } else if (answer instanceof Action.Defer defer) {
                 reply.reject(number, defer.mail().id, defer.retryAfter());
-                forget(defer.mail(), defer.mail().id);
+                removeIfFinished(defer.mail(), defer.mail().id);
             } else if (answer instanceof Action.Bounce bounce) {
                 reply.fail(number, bounce.mail().id);
-                forget(bounce.mail(), bounce.mail().id);
+                removeIfFinished(bounce.mail(), bounce.mail().id);
             } else if (answer instanceof Action.WakeUp wake) {
-                reply.notifyMe(number, life, wake.delay());
+                reply.notifyMe(number, incarnation, wake.delay());
             } else if (answer instanceof Action.ReleaseConnections release) {
                 reply.release(number, release.endpoint().address);
             } else if (answer instanceof Action.SubscribeToList) {
@@ -99,10 +99,10 @@
                 reply.journalLine(number, note.text());
             }
         }
-        answers.clear();
+        actions.clear();
     }
 
-    private void forget(Mail mail, long id) {
+    private void removeIfFinished(Mail mail, long id) {
         if (mail.finished && mail.inFlight == 0) {
             mails.remove(id);
         }
--- a/wire/src/main/java/wrenreach/wirehost/WireHost.java
+++ b/wire/src/main/java/wrenreach/wirehost/WireHost.java
@@ -26,18 +26,18 @@
     private final FrameReader in;
     private final OutputStream out;
     private final PrintStream err;
-    private final Function<Settings, Dispatcher> module;
+    private final Function<Settings, Dispatcher> dispatcherFactory;
     private final Map<Integer, List<Event.Host>> rosters = new HashMap<>();
     private final Map<Integer, Node> nodes = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
-    private final Set<Node> touched = new LinkedHashSet<>();
-    private int lives;
+    private final Set<Node> affectedNodes = new LinkedHashSet<>();
+    private int incarnations;
 
     public WireHost(InputStream in, OutputStream out, PrintStream err, Function<Settings, Dispatcher> module) {
         this.in = new FrameReader(new BufferedInputStream(in, 1 << 16));
         this.out = new BufferedOutputStream(out, 1 << 16);
         this.err = err;
-        this.module = module;
+        this.dispatcherFactory = module;
     }
 
     /** Serves until the end of input; the result is the exit code. */
@@ -57,7 +57,7 @@
     }
 
     private void handle(Event.Batch batch) throws WireException {
-        touched.clear();
+        affectedNodes.clear();
         for (int i = 0; i < batch.events().size(); i++) {
             Event event = batch.events().get(i);
             if (event instanceof Event.Enlist enlist) {
@@ -65,69 +65,69 @@
             } else if (event instanceof Event.Manifest manifest) {
                 rosters.put(manifest.roster(), manifest.hosts());
             } else if (event instanceof Event.Stop stop) {
-                touched.remove(nodes.remove(stop.node()));
+                affectedNodes.remove(nodes.remove(stop.node()));
             } else if (event instanceof Event.View view) {
                 List<Event.Host> hosts = view.scope() == 3 ? List.of() : rosters.get(view.roster());
                 if (hosts == null) {
                     throw new WireException("record " + i + " (view): RosterId names list " + view.roster()
                             + ", expected the number of a manifest sent before");
                 }
-                tell(view.node(), node -> node.view(view, hosts, batch.clock()));
+                deliver(view.node(), node -> node.view(view, hosts, batch.clock()));
             } else {
                 dispatch(event, batch.clock());
             }
         }
-        for (Node node : new ArrayList<>(touched)) {
-            guard(node, n -> n.next(batch.clock()));
-            if (touched.contains(node)) {
-                node.write(reply);
+        for (Node node : new ArrayList<>(affectedNodes)) {
+            runGuarded(node, n -> n.collectNextActions(batch.clock()));
+            if (affectedNodes.contains(node)) {
+                node.writeActions(reply);
             }
         }
     }
 
     private void dispatch(Event event, long now) {
         if (event instanceof Event.Req req) {
-            tell(req.node(), node -> node.req(req, now));
+            deliver(req.node(), node -> node.req(req, now));
         } else if (event instanceof Event.Response response) {
-            tell(response.node(), node -> node.response(response, now));
+            deliver(response.node(), node -> node.response(response, now));
         } else if (event instanceof Event.Cancelled cancelled) {
-            tell(cancelled.node(), node -> node.cancelled(cancelled, now));
+            deliver(cancelled.node(), node -> node.cancelled(cancelled, now));
         } else if (event instanceof Event.Ring ring) {
-            tell(ring.node(), node -> { });
+            deliver(ring.node(), node -> { });
         }
     }
 
     private void enlist(Event.Enlist enlist) {
-        touched.remove(nodes.remove(enlist.node()));
+        affectedNodes.remove(nodes.remove(enlist.node()));
         try {
             Settings settings = SettingsText.read(enlist.conf(), enlist.seed());
-            Node node = new Node(enlist.node(), ++lives, module.apply(settings));
+            Node node = new Node(enlist.node(), ++incarnations, dispatcherFactory.apply(settings));
             nodes.put(enlist.node(), node);
-            touched.add(node);
+            affectedNodes.add(node);
         } catch (RuntimeException e) {
-            fault(enlist.node(), e);
+            reportFault(enlist.node(), e);
         }
     }
 
-    private void tell(int number, java.util.function.Consumer<Node> what) {
+    private void deliver(int number, java.util.function.Consumer<Node> what) {
         Node node = nodes.get(number);
         if (node != null) {
-            touched.add(node);
-            guard(node, what);
+            affectedNodes.add(node);
+            runGuarded(node, what);
         }
     }
 
-    private void guard(Node node, java.util.function.Consumer<Node> what) {
+    private void runGuarded(Node node, java.util.function.Consumer<Node> what) {
         try {
             what.accept(node);
         } catch (RuntimeException e) {
             nodes.remove(node.number);
-            touched.remove(node);
-            fault(node.number, e);
+            affectedNodes.remove(node);
+            reportFault(node.number, e);
         }
     }
 
-    private void fault(int number, RuntimeException e) {
+    private void reportFault(int number, RuntimeException e) {
         e.printStackTrace(err);
         String text = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
         reply.fault(number, text);
--- a/wire/src/test/java/wrenreach/WireTest.java
+++ b/wire/src/test/java/wrenreach/WireTest.java
@@ -18,8 +18,8 @@
 import wrenreach.wirehost.WireHost;
 
 class WireTest {
-    private static final String CLOCK = "508d976e12d32040";
-    private static final String LEAST = "Tick=0.005\nLimits.MaxOpen=10\nFamilyInfo.MaxCalls=4\nClasses.count=1\n"
+    private static final String CLOCK_HEX = "508d976e12d32040";
+    private static final String MINIMAL_SETTINGS = "Tick=0.005\nLimits.MaxOpen=10\nFamilyInfo.MaxCalls=4\nClasses.count=1\n"
             + "Classes.0.Promise=2.5\nClasses.0.Deadline=28\nClasses.0.Effect=token\nUnknown.Key=x\n";
 
     private static byte[] hex(String text) {
@@ -28,10 +28,10 @@
 
     private static byte[] batch(int count, String... records) {
         String body = String.join("", records).replace(" ", "");
-        return hex(CLOCK + little(body.length() / 2 + 4) + little(count) + body);
+        return hex(CLOCK_HEX + littleEndian(body.length() / 2 + 4) + littleEndian(count) + body);
     }
 
-    private static String little(int value) {
+    private static String littleEndian(int value) {
         return HexFormat.of().toHexDigits(Integer.reverseBytes(value));
     }
 
@@ -66,12 +66,12 @@
         assertThat(batch.events().get(1)).isEqualTo(new Event.View(3, 2, 41, 0));
     }
 
-    @Test void refusesWhatIsMalformed() {
+    @Test void rejectsMalformedInput() {
         assertThatThrownBy(() -> read(batch(1, "63 0300"))).isInstanceOf(WireException.class)
                 .hasMessageContaining("record 0").hasMessageContaining("event code").hasMessageContaining("99");
         assertThatThrownBy(() -> read(batch(1, "06 0500 192b"))).isInstanceOf(WireException.class)
                 .hasMessageContaining("cancelled_by_client").hasMessageContaining("expected Call");
-        assertThatThrownBy(() -> read(hex(CLOCK + "ff000000"))).isInstanceOf(WireException.class);
+        assertThatThrownBy(() -> read(hex(CLOCK_HEX + "ff000000"))).isInstanceOf(WireException.class);
         assertThatThrownBy(() -> read(batch(0, "07 0300 4d000000"))).isInstanceOf(WireException.class);
     }
 
@@ -88,20 +88,20 @@
     }
 
     @Test void readsSettingsAndNamesWhatIsMissing() {
-        Settings settings = SettingsText.read(LEAST, 5);
+        Settings settings = SettingsText.read(MINIMAL_SETTINGS, 5);
         assertThat(settings.classes().get(0).lifetime()).isEqualTo(28_000_000);
         assertThat(settings.classes().get(0).effect()).isEqualTo(Settings.Effect.TAGGED);
-        assertThatThrownBy(() -> SettingsText.read(LEAST.replace("Classes.0.Deadline", "x"), 5))
+        assertThatThrownBy(() -> SettingsText.read(MINIMAL_SETTINGS.replace("Classes.0.Deadline", "x"), 5))
                 .hasMessageContaining("Classes.0.Deadline").hasMessageContaining("missing");
-        assertThatThrownBy(() -> SettingsText.read(LEAST.replace("MaxOpen=10", "MaxOpen=ten"), 5))
+        assertThatThrownBy(() -> SettingsText.read(MINIMAL_SETTINGS.replace("MaxOpen=10", "MaxOpen=ten"), 5))
                 .hasMessageContaining("Limits.MaxOpen").hasMessageContaining("unreadable");
     }
 
     private static String enlist(String conf) {
-        return "01 0300 0700000000000000" + little(conf.length()) + HexFormat.of().formatHex(conf.getBytes());
+        return "01 0300 0700000000000000" + littleEndian(conf.length()) + HexFormat.of().formatHex(conf.getBytes());
     }
 
-    private String host(int code, String... frames) {
+    private String runHost(int code, String... frames) {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         for (String frame : frames) {
             in.writeBytes(hex(frame));
@@ -119,30 +119,30 @@
     }
 
     @Test void hostsAnInstanceThatSendsAMail() {
-        String reply = host(0, frame(3, enlist(LEAST), "0b 0000 01000000 0100 0a124a07 2b23 01 00 0000803f"
+        String reply = runHost(0, frame(3, enlist(MINIMAL_SETTINGS), "0b 0000 01000000 0100 0a124a07 2b23 01 00 0000803f"
                 + "0000000000000000 00", "02 0300 02 2900000000000000 0000"),
                 frame(1, "03 0300 c4913a5d07b60000 0000803f 0000 0000000000000000 00 0000000000000000"
                 + "0000000000003c40 00000000"));
         assertThat(reply).contains("4a0300c4913a5d07b600000a124a072b23").endsWith("|");
     }
 
-    @Test void aStoppedLifeLeavesNothingToTheNext() {
-        String reply = host(0, frame(1, enlist(LEAST)), frame(5, "03 0300 0100000000000000 0000803f 0000"
-                + "0000000000000000 00 0000000000000000 0000000000003c40 00000000", "0a 0300", enlist(LEAST),
+    @Test void aReenlistedNodeIgnoresEventsOfItsPredecessor() {
+        String reply = runHost(0, frame(1, enlist(MINIMAL_SETTINGS)), frame(5, "03 0300 0100000000000000 0000803f 0000"
+                + "0000000000000000 00 0000000000000000 0000000000003c40 00000000", "0a 0300", enlist(MINIMAL_SETTINGS),
                 "05 0300 0100000000000000 0000 0a124a07 2b23 00 0000000000000000 01 00000000 00", "07 0300 01000000"));
         assertThat(reply).isEqualTo("04000000000000000400000000000000|");
     }
 
-    @Test void aMissingSettingIsAFault() {
-        assertThat(host(0, frame(1, enlist("Tick=0.005\n")))).contains("450300").contains("setting");
+    @Test void aMissingSettingIsReportedAsAFault() {
+        assertThat(runHost(0, frame(1, enlist("Tick=0.005\n")))).contains("450300").contains("setting");
     }
 
     @Test void anUnknownListNumberEndsTheHost() {
-        assertThat(host(1, frame(2, enlist(LEAST), "02 0300 01 0100000000000000 0900"))).contains("record 1 (view)")
+        assertThat(runHost(1, frame(2, enlist(MINIMAL_SETTINGS), "02 0300 01 0100000000000000 0900"))).contains("record 1 (view)")
                 .contains("list 9");
     }
 
     @Test void inputThatEndsInsideAFrameEndsTheHost() {
-        assertThat(host(1, frame(1, enlist(LEAST)).substring(0, 60))).contains("input ended");
+        assertThat(runHost(1, frame(1, enlist(MINIMAL_SETTINGS)).substring(0, 60))).contains("input ended");
     }
 }
