--- a/app/src/main/java/wrenreach/app/Launch.java
+++ b/app/src/main/java/wrenreach/app/Launch.java
@@ -13,14 +13,17 @@
 import java.util.stream.Stream;
 
 /**
- * Where a process starts. The jar holds what every node needs; subsystems and the libraries that only they use lie in
- * the folder parts/ beside it. Guards the start and the memory of a node that switches nothing on: it never opens them.
- * A process that needs them runs on one flat class path of all.
+ * Entry point of a process. The jar holds what every node needs; subsystems and the libraries that only they use are in
+ * the folder parts/ beside it. A node that enables no subsystem never opens them, which keeps its start fast and its memory small.
+ * A process that needs them runs on one flat class path with all jars.
  */
 public final class Launch {
-    /** A class of the parts: where it can be seen, so can they all. */
+    /** A class of the parts: where it is on the class path, all parts are. */
     private static final String PARTS_MARKER_CLASS = "com/fasterxml/jackson/dataformat/toml/TomlMapper.class";
-    private static final String MAIN_CLASS = "wrenreach.app.Main", RUN_METHOD = "run";
+    /** The class that runs a command line, loaded by name through the class loader of all jars. */
+    private static final String MAIN_CLASS = "wrenreach.app.Main";
+    /** Its method that takes the command line. */
+    private static final String RUN_METHOD = "run";
 
     private Launch() { }
 
@@ -46,12 +49,13 @@
         }
     }
 
+    /** Returns this jar and then those of the folder parts, sorted by path. */
     private static URL[] jars() throws IOException, URISyntaxException {
-        Path own = Path.of(Launch.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path ownJar = Path.of(Launch.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         List<URL> jars = new ArrayList<>();
-        jars.add(own.toUri().toURL());
-        try (Stream<Path> parts = Files.list(own.resolveSibling("parts"))) {
-            for (Path part : parts.filter(one -> one.toString().endsWith(".jar")).sorted(Comparator.naturalOrder()).toList()) {
+        jars.add(ownJar.toUri().toURL());
+        try (Stream<Path> parts = Files.list(ownJar.resolveSibling("parts"))) {
+            for (Path part : parts.filter(path -> path.toString().endsWith(".jar")).sorted(Comparator.naturalOrder()).toList()) {
                 jars.add(part.toUri().toURL());
             }
         }
--- a/app/src/main/java/wrenreach/app/LogSection.java
+++ b/app/src/main/java/wrenreach/app/LogSection.java
@@ -3,7 +3,7 @@
 import wrenreach.operator.Key;
 import wrenreach.operator.Section;
 
-/** [log]: how the node tells staff what happens. */
+/** The section [log]: the format of the node's log. */
 record LogSection(
         @Key(about = "text: a line for people; json: one JSON object a line", byDefault = "text",
                 oneOf = {"text", "json"}, live = true) String format) {
--- a/app/src/main/java/wrenreach/app/Main.java
+++ b/app/src/main/java/wrenreach/app/Main.java
@@ -22,7 +22,7 @@
 import wrenreach.node.Config;
 import wrenreach.wirehost.WireHost;
 
-/** The command line. */
+/** Runs a command line. */
 public final class Main {
     private static final String USAGE = """
             usage: wrenreach COMMAND [options]
@@ -39,16 +39,16 @@
 
     private Main() { }
 
-    /** Whether a command line asks for more than the jar holds: an operator's file, or a command of a subsystem. */
+    /** Whether a command line needs the jars of the folder parts: for an operator's file, a command of a subsystem, or help. */
     static boolean needsParts(String[] args, Map<String, String> environment) {
-        boolean own = !environment.getOrDefault("WRENREACH_OPERATOR", "").isEmpty();
+        boolean operatorFile = !environment.getOrDefault("WRENREACH_OPERATOR", "").isEmpty();
         for (String word : args) {
-            own |= word.startsWith("--operator");
+            operatorFile |= word.startsWith("--operator");
         }
-        return args.length > 0 && (!BUILT_IN_COMMANDS.contains(args[0]) || args[0].equals("help") || args[0].equals("serve") && own);
+        return args.length > 0 && (!BUILT_IN_COMMANDS.contains(args[0]) || args[0].equals("help") || args[0].equals("serve") && operatorFile);
     }
 
-    /** Runs a command line with the process's environment; the exit code. */
+    /** Runs a command line with the environment of the process and returns its exit code. */
     public static int run(String[] args) {
         return run(args, System.getenv());
     }
@@ -59,21 +59,21 @@
                 "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         if (!BUILT_IN_COMMANDS.contains(command)) {
-            for (Command brought : addedCommands()) {
-                if (brought.name().equals(command)) {
-                    return brought.run(List.of(args).subList(1, args.length), System.out, System.err);
+            for (Command added : addedCommands()) {
+                if (added.name().equals(command)) {
+                    return added.run(List.of(args).subList(1, args.length), System.out, System.err);
                 }
             }
         }
         try {
             Options known = new Options();
-            boolean starts = command.equals("serve") || command.equals("rehearse");
-            if (starts) {
+            boolean startsNode = command.equals("serve") || command.equals("rehearse");
+            if (startsNode) {
                 known.addOption(Option.builder().longOpt("config").hasArg().get());
                 known.addOption(Option.builder().longOpt("check").get());
                 known.addOption(Option.builder().longOpt("operator").hasArg().get());
             }
-            if (starts || command.equals("held")) {
+            if (startsNode || command.equals("held")) {
                 known.addOption(Option.builder().longOpt("state").hasArg().get());
             }
             CommandLine line = new DefaultParser().parse(known, args);
@@ -82,16 +82,16 @@
             }
             switch (command) {
                 case "serve":
-                    String own = line.getOptionValue("operator", environment.get("WRENREACH_OPERATOR"));
-                    return new Serve(pathOption(line, "config", environment), own == null || own.isEmpty() ? null
-                            : Path.of(own), environment, System.err)
+                    String operator = line.getOptionValue("operator", environment.get("WRENREACH_OPERATOR"));
+                    return new Serve(pathOption(line, "config", environment), operator == null || operator.isEmpty() ? null
+                            : Path.of(operator), environment, System.err)
                             .run(pathOption(line, "state", environment), line.hasOption("check"));
                 case "rehearse":
                     Path state = pathOption(line, "state", environment);
                     Path file = pathOption(line, "config", environment);
-                    // A start as the platform makes it, so that the archive knows its classes too; then the mails.
-                    int started = new Serve(file, null, environment, System.err).run(state.resolve("start"), true);
-                    return started != 0 ? started
+                    // First a start as the platform does it, so that the archive also has the classes of a start; then the mails.
+                    int startCode = new Serve(file, null, environment, System.err).run(state.resolve("start"), true);
+                    return startCode != 0 ? startCode
                             : Rehearsal.run(Config.read(file, environment), state.resolve("mails"));
                 case "held":
                     return printHeld(pathOption(line, "state", environment));
@@ -103,7 +103,7 @@
                     return 0;
                 case "help":
                     System.out.print(USAGE);
-                    addedCommands().forEach(brought -> brought.usage().forEach(use -> System.out.println("  " + use)));
+                    addedCommands().forEach(added -> added.usage().forEach(use -> System.out.println("  " + use)));
                     return 0;
                 default:
                     throw new ParseException("unknown command " + command);
@@ -121,6 +121,7 @@
         }
     }
 
+    /** Returns the commands beyond the built-in ones. */
     private static List<Command> addedCommands() {
         List<Command> all = new ArrayList<>();
         all.add(new OperatorCommand());
@@ -128,6 +129,7 @@
         return all;
     }
 
+    /** Returns the path given by an option, or else by its environment variable GW_OPTION. */
     private static Path pathOption(CommandLine line, String option, Map<String, String> environment) throws ParseException {
         String variable = "GW_" + option.toUpperCase(Locale.ROOT);
         String value = line.getOptionValue(option, environment.get(variable));
@@ -137,6 +139,7 @@
         return Path.of(value);
     }
 
+    /** Prints the outstanding mails of a state folder and returns the exit code. */
     private static int printHeld(Path state) {
         if (!Files.isDirectory(state)) {
             System.err.println("wrenreach: state folder " + state + " is not there");
@@ -147,9 +150,9 @@
             return 1;
         }
         try {
-            List<HeldMail> owed = Journal.read(state);
-            owed.forEach(mail -> System.out.println(mail.describe()));
-            System.out.println(owed.size() + " mails owed");
+            List<HeldMail> outstanding = Journal.read(state);
+            outstanding.forEach(mail -> System.out.println(mail.describe()));
+            System.out.println(outstanding.size() + " mails owed");
             return 0;
         } catch (IOException e) {
             System.err.println("wrenreach: state folder " + state + " can't be read: " + e);
--- a/app/src/main/java/wrenreach/app/OperatorCommand.java
+++ b/app/src/main/java/wrenreach/app/OperatorCommand.java
@@ -6,7 +6,7 @@
 import wrenreach.frame.Command;
 import wrenreach.operator.OperatorFile;
 
-/** wrenreach config check|show: what is wrong with an operator's file, and what is in force by it. */
+/** The command wrenreach config check|show: reports all problems of an operator's file, or prints the values in force. */
 final class OperatorCommand implements Command {
     @Override public String name() {
         return "config";
@@ -25,18 +25,18 @@
         try {
             OperatorFile file = OperatorFile.read(Path.of(words.get(1)), Parts.sections());
             if (words.get(0).equals("show")) {
-                List<OperatorFile.EffectiveValue> shown = file.effectiveValues();
-                int width = shown.stream().mapToInt(one -> (one.key() + one.value()).length()).max().orElse(0) + 3;
-                for (OperatorFile.EffectiveValue one : shown) {
-                    String pair = one.key() + " = " + one.value();
-                    out.println(pair + " ".repeat(width + 1 - pair.length()) + "# " + one.origin() + ": " + one.about());
+                List<OperatorFile.EffectiveValue> values = file.effectiveValues();
+                int width = values.stream().mapToInt(value -> (value.key() + value.value()).length()).max().orElse(0) + 3;
+                for (OperatorFile.EffectiveValue value : values) {
+                    String pair = value.key() + " = " + value.value();
+                    out.println(pair + " ".repeat(width + 1 - pair.length()) + "# " + value.origin() + ": " + value.about());
                 }
             } else {
                 out.println(words.get(1) + ": sound");
             }
             return 0;
         } catch (OperatorFile.InvalidFileException e) {
-            e.faults().forEach(fault -> err.println(fault.format(words.get(1))));
+            e.faults().forEach(problem -> err.println(problem.format(words.get(1))));
             return 2;
         }
     }
--- a/app/src/main/java/wrenreach/app/Parts.java
+++ b/app/src/main/java/wrenreach/app/Parts.java
@@ -7,11 +7,11 @@
 import wrenreach.frame.Subsystem;
 import wrenreach.operator.Section;
 
-/** All that this build can be switched on to do. Asked only where there is an operator's file, or an unknown command. */
+/** The subsystems and commands that this build contains. Used only where there is an operator's file, or for a command that is not built in. */
 final class Parts {
     private Parts() { }
 
-    /** The subsystems of the jar, in the order of their names. */
+    /** Returns all subsystems on the class path, sorted by name. */
     static List<Subsystem<?>> subsystems() {
         List<Subsystem<?>> all = new ArrayList<>();
         ServiceLoader.load(Subsystem.class, Parts.class.getClassLoader()).forEach(all::add);
@@ -19,7 +19,7 @@
         return all;
     }
 
-    /** The tables that an operator's file may hold. */
+    /** Returns the sections that an operator's file may have. */
     static List<Section<?>> sections() {
         List<Section<?>> all = new ArrayList<>();
         all.add(LogSection.SECTION);
@@ -27,6 +27,7 @@
         return all;
     }
 
+    /** Returns the commands of subsystems, then those that are registered as services. */
     static List<Command> commands() {
         List<Command> all = new ArrayList<>();
         subsystems().forEach(subsystem -> all.addAll(subsystem.commands()));
--- a/app/src/main/java/wrenreach/app/Rehearsal.java
+++ b/app/src/main/java/wrenreach/app/Rehearsal.java
@@ -23,22 +23,25 @@
 import wrenreach.node.DeliveryNode;
 
 /**
- * Plays a few mails through a node on loopback at build time, so that the class-data archive knows what a node uses
- * in service. Guards the first seconds of a life: loading those classes then held answers up by half a second.
+ * Sends a few mails through a node on loopback at build time, so that the class-data archive has the classes that a node uses in
+ * service. Without them in the archive, loading these classes delayed replies by half a second in the first seconds after a start.
  */
 final class Rehearsal {
+    /** How many mails are submitted. */
     private static final int MAIL_COUNT = 60;
+    /** Limit of each wait, in seconds. */
     private static final long TIMEOUT_S = 5;
 
     private final AtomicInteger callCount = new AtomicInteger();
     private final AtomicInteger noticeCount = new AtomicInteger();
+    /** Receiver, platform and discovery. */
     private final HttpServer outsideServer;
 
     private Rehearsal() throws IOException {
         outsideServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     }
 
-    /** The exit code: 0 where the mails were taken and some relayed and ended by a notice. */
+    /** Returns the exit code: 0 where mails were accepted, calls were made and notices were posted, and the node ended with 0; otherwise 1. */
     static int run(Config config, Path state) throws IOException, InterruptedException {
         return new Rehearsal().sendMails(config, Files.createDirectories(state));
     }
@@ -49,7 +52,7 @@
             int[] statuses = {200, 200, 200, 429, 200, 500, 503};
             exchange.getResponseHeaders().set("Wait-Ms", "20");
             exchange.getResponseHeaders().set("X-Load-Report", "x0=0.9,x1=500");
-            // In the end it is full for good, so that some mails end by a notice.
+            // After MAIL_COUNT calls it stays overloaded, so that some mails end with a notice.
             respond(exchange, call < MAIL_COUNT ? statuses[call % statuses.length] : 503, "ok");
         });
         outsideServer.createContext("/v2/finals", exchange -> {
@@ -60,7 +63,7 @@
         });
         String address = Addresses.format(outsideServer.getAddress());
         outsideServer.createContext("/api/targets", exchange -> {
-            // A watch stays open.
+            // The watch stays open: no close.
             exchange.sendResponseHeaders(200, 0);
             exchange.getResponseBody().write(("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"receiver-1\","
                     + "\"address\":\"" + address + "\",\"group\":1,\"status\":\"SERVING\",\"weight\":500}]}\n")
@@ -77,20 +80,20 @@
                 config.reportNames()), Journal.open(state, config.diskBytes()), DeliveryDispatcher::new);
         node.start();
         try {
-            InetSocketAddress door = node.serving().get(TIMEOUT_S, TimeUnit.SECONDS);
-            int taken = 0;
+            InetSocketAddress listener = node.serving().get(TIMEOUT_S, TimeUnit.SECONDS);
+            int accepted = 0;
             for (int i = 0; i < MAIL_COUNT; i++) {
-                taken += submit(door, "m" + i, config, 2500).startsWith("+OK") ? 1 : 0;
+                accepted += submit(listener, "m" + i, config, 2500).startsWith("+OK") ? 1 : 0;
             }
-            submit(door, "", config, 1);
+            submit(listener, "", config, 1);
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             while ((callCount.get() < MAIL_COUNT || noticeCount.get() == 0) && System.nanoTime() < until) {
                 Thread.sleep(10);
             }
             node.stop();
             int code = node.stopped().get(TIMEOUT_S, TimeUnit.SECONDS);
-            System.out.println(taken + " mails taken, " + callCount.get() + " calls, " + noticeCount.get() + " posts of notices");
-            return code == 0 && taken > 0 && callCount.get() > 0 && noticeCount.get() > 0 ? 0 : 1;
+            System.out.println(accepted + " mails taken, " + callCount.get() + " calls, " + noticeCount.get() + " posts of notices");
+            return code == 0 && accepted > 0 && callCount.get() > 0 && noticeCount.get() > 0 ? 0 : 1;
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("wrenreach: rehearsal: " + e);
             return 1;
@@ -107,13 +110,14 @@
         exchange.close();
     }
 
-    private static String submit(InetSocketAddress door, String id, Config config, int lifetimeMs) throws IOException {
+    /** Submits a mail on a connection of its own and returns the first 3 bytes of the reply. */
+    private static String submit(InetSocketAddress listener, String id, Config config, int lifetimeMs) throws IOException {
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", "k" + id, id, "c=" + config.queueClasses().get(0) + ",t="
                 + config.tenants().get(0) + ",d=" + lifetimeMs + ",k=t" + id + ",dest=1", "body")) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
-        try (Socket client = new Socket(door.getAddress(), door.getPort())) {
+        try (Socket client = new Socket(listener.getAddress(), listener.getPort())) {
             client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             client.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
             return new String(client.getInputStream().readNBytes(3), StandardCharsets.US_ASCII);
--- a/app/src/main/java/wrenreach/app/Serve.java
+++ b/app/src/main/java/wrenreach/app/Serve.java
@@ -29,53 +29,58 @@
 import wrenreach.watch.FileWatch;
 
 /**
- * Puts a node together and runs it: config, journal, module, what the operator's file switches on, and what signals do.
+ * Assembles a node and runs it: config, journal or another ledger, dispatcher, the subsystems that the operator's file enables, and
+ * signal handlers.
  */
 final class Serve {
     private static final System.Logger LOG = System.getLogger(Serve.class.getName());
-    /** For how long a file that can't be used is read again, and between two looks where no signal tells; microseconds. */
-    private static final long RELOAD_RETRY_LIMIT_US = 2_000_000, FILE_POLL_INTERVAL_US = 1_000_000;
+    /** For how long a changed file that can't be used is read again, in microseconds. */
+    private static final long RELOAD_RETRY_LIMIT_US = 2_000_000;
+    /** Time between two checks of the files where SIGHUP is ignored, in microseconds. */
+    private static final long FILE_POLL_INTERVAL_US = 1_000_000;
 
-    /** For how long a state folder that fails is tried again at the start, and between two tries; nanoseconds. */
-    private static final long FOLDER_RETRY_LIMIT_NS = 10_000_000_000L, FOLDER_RETRY_INTERVAL_NS = 50_000_000;
+    /** For how long a state folder that fails at the start is tried again, in nanoseconds. */
+    private static final long FOLDER_RETRY_LIMIT_NS = 10_000_000_000L;
+    /** Time between two tries of the state folder, in nanoseconds. */
+    private static final long FOLDER_RETRY_INTERVAL_NS = 50_000_000;
 
     private final Path configPath;
-    /** The operator's file; null: there is none. */
+    /** The path of the operator's file, or null where there is none. */
     private final Path operatorPath;
     private final Map<String, String> environment;
     private final PrintStream err;
-    /** As read last; null: there is none, and none of its classes is loaded. */
+    /** The operator's file as last read; null where there is none, and then none of the classes that read it is loaded. */
     private OperatorFile operatorFile;
-    /** The sections that subsystems go by. */
+    /** The sections in force, by the name of the subsystem. */
     private final Map<String, Record> activeSections = new LinkedHashMap<>();
     private JsonLog jsonLog;
     private String nodeName = "node";
 
-    Serve(Path file, Path operatorFile, Map<String, String> environment, PrintStream err) {
-        this.configPath = file;
-        this.operatorPath = operatorFile;
+    Serve(Path configPath, Path operatorPath, Map<String, String> environment, PrintStream err) {
+        this.configPath = configPath;
+        this.operatorPath = operatorPath;
         this.environment = environment;
         this.err = err;
     }
 
-    /** Runs a node on the state folder until it stops; check: it stops as soon as it serves. The exit code. */
+    /** Runs a node on the state folder until it stops, or with check until it serves, and returns the exit code. */
     int run(Path state, boolean check) {
-        // Before anything else: without a handler the signal ends the process.
+        // Installed before anything else: without a handler, SIGHUP ends the process.
         Reload config = new Reload(configPath, RELOAD_RETRY_LIMIT_US);
-        Reload own = operatorPath == null ? null : new Reload(operatorPath, RELOAD_RETRY_LIMIT_US);
-        boolean told = handleHangUp(() -> {
+        Reload operator = operatorPath == null ? null : new Reload(operatorPath, RELOAD_RETRY_LIMIT_US);
+        boolean hangUpHandled = handleHangUp(() -> {
             config.signalled();
-            if (own != null) {
-                own.signalled();
+            if (operator != null) {
+                operator.signalled();
             }
         });
         try {
-            return serve(state, check, config, own, told);
+            return serve(state, check, config, operator, hangUpHandled);
         } catch (Config.InvalidConfigException | OperatorFile.InvalidFileException | Subsystem.StartException e) {
             e.getMessage().lines().forEach(line -> err.println("wrenreach: " + line));
             return 2;
         } catch (OutOfMemoryError e) {
-            // Guards against a start that ends in the middle of its reading: what was read is garbage by now.
+            // The start ran out of memory while it read its files. What was read is garbage by now, so there is memory for this message.
             err.println("wrenreach: " + FailureReport.outOfMemory(e) + ", the config " + configPath.toFile().length() / 1000 + " KB, the journal "
                     + state.resolve("journal").toFile().length() / 1000 + " KB: give it more memory (-Xmx in deploy/serve.options) or less"
                     + " to hold");
@@ -88,30 +93,30 @@
     }
 
     /**
-     * Has SIGHUP do this; false where it never will: started with the signal ignored (nohup, some supervisors), the
-     * JVM installs no handler and tells so only by the one that it returns.
+     * Runs the work on each SIGHUP. Returns false where that never happens: in a process that was started with the signal ignored
+     * (nohup, some supervisors) the JVM installs no handler, and the only sign is the previous handler that it returns.
      */
     private static boolean handleHangUp(Runnable work) {
         return Signal.handle(new Signal("HUP"), signal -> work.run()) != SignalHandler.SIG_IGN;
     }
 
-    private int serve(Path state, boolean check, Reload config, Reload own, boolean told)
+    private int serve(Path state, boolean check, Reload config, Reload operator, boolean hangUpHandled)
             throws Config.InvalidConfigException, OperatorFile.InvalidFileException, Subsystem.StartException {
-        Config read = Config.read(configPath, environment);
-        nodeName = read.name();
+        Config nodeConfig = Config.read(configPath, environment);
+        nodeName = nodeConfig.name();
         if (operatorPath != null) {
             operatorFile = OperatorFile.read(operatorPath, Parts.sections());
             configureLog(operatorFile);
         }
         Ledger journal;
         try {
-            journal = openLedger(state, read.diskBytes());
+            journal = openLedger(state, nodeConfig.diskBytes());
         } catch (IOException e) {
             err.println("wrenreach: state folder " + state + " can't be used: " + e);
             return 1;
         }
-        DeliveryNode node = new DeliveryNode(read, journal, DeliveryDispatcher::new);
-        // Not a shutdown hook: the logging of the platform ends in one of its own, and a stop is to be logged.
+        DeliveryNode node = new DeliveryNode(nodeConfig, journal, DeliveryDispatcher::new);
+        // Not a shutdown hook: java.util.logging closes in a hook of its own, and the stop has to be logged.
         Signal.handle(new Signal("TERM"), signal -> node.stop());
         Signal.handle(new Signal("INT"), signal -> node.stop());
         if (operatorPath != null) {
@@ -122,31 +127,31 @@
         if (check) {
             node.serving().thenRun(node::stop);
         }
-        LogEvent.log(LOG, Level.INFO, "reload.way", "config is read again {way}", "way", told ? "on SIGHUP"
+        LogEvent.log(LOG, Level.INFO, "reload.way", "config is read again {way}", "way", hangUpHandled ? "on SIGHUP"
                 : "whenever it changes: SIGHUP is ignored here");
         node.start();
         config.setHandler(node::reconfigured);
-        if (own != null) {
-            own.setHandler(file -> {
+        if (operator != null) {
+            operator.setHandler(file -> {
                 try (InputStream in = file.open()) {
                     reloadOperatorFile(in.readAllBytes(), node);
                 }
             });
         }
-        if (!told) {
-            watchFiles(config, own);
+        if (!hangUpHandled) {
+            watchFiles(config, operator);
         }
         return node.stopped().join();
     }
 
-    /** What is kept in the state folder; where the folder fails in a way that may pass, it is tried again for some seconds. */
+    /** Opens the ledger in the state folder. Errors that may be transient are retried for FOLDER_RETRY_LIMIT_NS. */
     private Ledger openLedger(Path state, long limit) throws IOException, Subsystem.StartException {
         long until = System.nanoTime() + FOLDER_RETRY_LIMIT_NS;
         while (true) {
             try {
                 Files.createDirectories(state);
-                Ledger brought = operatorPath == null ? null : subsystemLedger(state, limit);
-                return brought == null ? Journal.open(state, limit) : brought;
+                Ledger provided = operatorPath == null ? null : subsystemLedger(state, limit);
+                return provided == null ? Journal.open(state, limit) : provided;
             } catch (IOException e) {
                 if (!StorageErrors.isTransient(e) || System.nanoTime() > until) {
                     throw e;
@@ -156,20 +161,20 @@
         }
     }
 
-    /** Follows the files on threads that end with the process. */
-    private void watchFiles(Reload config, Reload own) {
+    /** Watches the files for changes, on threads that end with the process. */
+    private void watchFiles(Reload config, Reload operator) {
         new FileWatch("wrenreach-config", () -> List.of(configPath), FILE_POLL_INTERVAL_US, RELOAD_RETRY_LIMIT_US, config).start();
-        if (own != null) {
-            new FileWatch("wrenreach-operator", () -> List.of(operatorPath), FILE_POLL_INTERVAL_US, RELOAD_RETRY_LIMIT_US, own).start();
+        if (operator != null) {
+            new FileWatch("wrenreach-operator", () -> List.of(operatorPath), FILE_POLL_INTERVAL_US, RELOAD_RETRY_LIMIT_US, operator).start();
         }
     }
 
-    /** What the operator's file puts in place of the journal; null: nothing. */
+    /** Returns the ledger that a subsystem provides in place of the journal, or null where none does. */
     private Ledger subsystemLedger(Path state, long limit) throws Subsystem.StartException {
         for (Subsystem<?> subsystem : Parts.subsystems()) {
-            Ledger brought = subsystemLedger(subsystem, state, limit);
-            if (brought != null) {
-                return brought;
+            Ledger provided = subsystemLedger(subsystem, state, limit);
+            if (provided != null) {
+                return provided;
             }
         }
         return null;
@@ -187,20 +192,20 @@
     private <S extends Record> void startSubsystem(Subsystem<S> subsystem, DeliveryNode node) throws Subsystem.StartException {
         var section = operatorFile.section(subsystem.section());
         if (section.isPresent()) {
-            String named = subsystem.section().name();
-            NodeContext host = node;
+            String name = subsystem.section().name();
+            NodeContext context = node;
             try {
-                RunningSubsystem<S> running = subsystem.start(section.get(), host);
-                node.add(named, running);
-                activeSections.put(named, section.get());
+                RunningSubsystem<S> running = subsystem.start(section.get(), context);
+                node.add(name, running);
+                activeSections.put(name, section.get());
             } catch (Subsystem.StartException e) {
-                throw new Subsystem.StartException(operatorPath + ": " + named + ": " + e.getMessage());
+                throw new Subsystem.StartException(operatorPath + ": " + name + ": " + e.getMessage());
             }
-            LogEvent.log(LOG, Level.INFO, "subsystem.on", "{subsystem}: on", "subsystem", named);
+            LogEvent.log(LOG, Level.INFO, "subsystem.on", "{subsystem}: on", "subsystem", name);
         }
     }
 
-    /** Takes the operator's file as it now is, whole or not at all, and says what became of each change. */
+    /** Applies a new version of the operator's file, or rejects it as a whole, and logs the effect of each change. */
     private synchronized void reloadOperatorFile(byte[] bytes, DeliveryNode node) throws Reload.RejectedFileException {
         OperatorFile newer;
         try {
@@ -222,21 +227,22 @@
         for (Subsystem<?> subsystem : Parts.subsystems()) {
             Record section = newer.section(subsystem.section()).orElse(null);
             if (section != null) {
-                // What needs a restart stays as it is, also in part.
-                activeSections.computeIfPresent(subsystem.section().name(), (named, was) -> {
-                    Record now = subsystem.section().mergeReloaded(was, section);
-                    node.reloaded(named, now);
-                    return now;
+                // Keys that need a restart keep their values, even where other keys of the section change.
+                activeSections.computeIfPresent(subsystem.section().name(), (name, active) -> {
+                    Record merged = subsystem.section().mergeReloaded(active, section);
+                    node.reloaded(name, merged);
+                    return merged;
                 });
             }
         }
     }
 
-    private void configureLog(OperatorFile from) {
-        boolean wanted = from.section(LogSection.SECTION).map(LogSection::json).orElse(false);
-        if (wanted && jsonLog == null) {
+    /** Starts or ends the JSON log as the section [log] says. */
+    private void configureLog(OperatorFile source) {
+        boolean jsonWanted = source.section(LogSection.SECTION).map(LogSection::json).orElse(false);
+        if (jsonWanted && jsonLog == null) {
             jsonLog = JsonLog.start(nodeName, err);
-        } else if (!wanted && jsonLog != null) {
+        } else if (!jsonWanted && jsonLog != null) {
             jsonLog.close();
             jsonLog = null;
         }
--- a/app/src/test/java/wrenreach/app/LoadTest.java
+++ b/app/src/test/java/wrenreach/app/LoadTest.java
@@ -90,7 +90,8 @@
     @ParameterizedTest
     @EnumSource(WrongNode.Wrong.class)
     void faultyNodesAreDetected(WrongNode.Wrong wrong) throws Exception {
-        assertThat(runLoad(experiment(3, 2, "builds = [\"n0 = class " + WrongNode.class.getName() + " " + wrong + "\"]", wrong.faults.split(", ")))).as(output()).isEqualTo(1);
+        assertThat(runLoad(experiment(3, 2, "builds = [\"n0 = class " + WrongNode.class.getName() + " " + wrong + "\"]",
+                wrong.faults.split(", ")))).as(output()).isEqualTo(1);
         assertThat(output()).contains("breaks " + wrong.rule);
     }
 
--- a/operator/src/main/java/wrenreach/operator/Key.java
+++ b/operator/src/main/java/wrenreach/operator/Key.java
@@ -6,33 +6,33 @@
 import java.lang.annotation.Target;
 
 /**
- * What one key of a section may hold: the one place of its default, range and meaning. It stands at a component of the
- * section's record; the key is the component's name with _ before each capital letter.
+ * Declares one key of a section: the single source of its default, range and meaning. It annotates a component of the
+ * section's record; the key is the name of the component in lower case, with _ before each capital letter.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Key {
-    /** Stands for a key that has no default: it has to be given. */
+    /** Marks a key that has no default and has to be given. */
     String REQUIRED = "\0";
 
-    /** One line for who writes the file. */
+    /** One line of help for whoever writes the file. */
     String about();
 
-    /** The value where the file gives none, as it would stand there; lists are separated by commas. */
+    /** The default value, written as in the file; items of a list are separated by commas. */
     String byDefault() default REQUIRED;
 
-    /** What a number counts. */
+    /** The unit of a number. */
     Unit unit() default Unit.PLAIN;
 
-    /** The least value, written as in the file; empty: none. */
+    /** The minimum, written as in the file; empty for none. */
     String least() default "";
 
-    /** The greatest value, written as in the file; empty: none. */
+    /** The maximum, written as in the file; empty for none. */
     String most() default "";
 
-    /** The texts that are allowed; empty: any. */
+    /** The allowed texts; empty for any. */
     String[] oneOf() default {};
 
-    /** Whether a change takes effect at a reload; else it needs a restart. */
+    /** Whether a change takes effect at a reload; otherwise it needs a restart. */
     boolean live() default false;
 }
--- a/operator/src/main/java/wrenreach/operator/OperatorFile.java
+++ b/operator/src/main/java/wrenreach/operator/OperatorFile.java
@@ -19,11 +19,11 @@
 import java.util.TreeMap;
 
 /**
- * The operator's own file: one table a subsystem, which is on where its table stands there and does not say on = false.
- * Read whole or not at all: every fault of a file is told at once.
+ * The operator's file: one table for each subsystem, which is enabled where its table is present and does not say on = false. A file is
+ * read as a whole or rejected, with all of its problems reported at once.
  */
 public final class OperatorFile {
-    /** A file that can't be used, with all that is wrong. */
+    /** The file can't be used; carries all of its problems. */
     public static final class InvalidFileException extends Exception {
         private static final long serialVersionUID = 1;
         private final transient List<FileProblem> faults;
@@ -33,37 +33,40 @@
             this.faults = List.copyOf(faults);
         }
 
-        /** In the order of their lines. */
+        /** All problems, in the order of their lines. */
         public List<FileProblem> faults() {
             return faults;
         }
     }
 
-    /** One value in force. origin: where it comes from, "default" or FILE:LINE. */
+    /** One value in force; origin is "default" or FILE:LINE. */
     public record EffectiveValue(String key, String value, String origin, String about) { }
 
-    /** One key whose value differs between two files; live: it takes effect at once. */
+    /** One key whose value differs between two files; live where the change takes effect without a restart. */
     public record Change(String key, String before, String after, boolean live) { }
 
+    /** The key of every section that switches it on or off. */
     private static final String ENABLED_KEY = "on";
+    /** Larger files are rejected unread. */
     private static final int MAX_FILE_BYTES = 1 << 20;
 
     private final Path file;
     private final Map<String, Section<?>> knownSections;
     private final Map<String, Record> enabledSections = new LinkedHashMap<>();
+    /** The line of each key that the file gives, by path; other keys have their defaults. */
     private final Map<String, Integer> keyLines = new TreeMap<>();
 
-    private OperatorFile(Path file, Map<String, Section<?>> known) {
+    private OperatorFile(Path file, Map<String, Section<?>> knownSections) {
         this.file = file;
-        this.knownSections = known;
+        this.knownSections = knownSections;
     }
 
-    /** What stands where there is no file: nothing is on. */
+    /** Stands for a missing file: no section is enabled. */
     public static OperatorFile none() {
         return new OperatorFile(Path.of(""), Map.of());
     }
 
-    /** Reads a file against all sections that there are. */
+    /** Reads a file and checks it against all sections that exist. */
     public static OperatorFile read(Path file, Collection<Section<?>> sections) throws InvalidFileException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
@@ -76,7 +79,7 @@
         }
     }
 
-    /** The same of bytes; file only names where they come from. */
+    /** Parses the bytes of a file and checks them against all sections; the path only serves for messages. */
     public static OperatorFile parse(Path file, byte[] bytes, Collection<Section<?>> sections) throws InvalidFileException {
         List<FileProblem> faults = new ArrayList<>();
         Map<String, Section<?>> known = new LinkedHashMap<>();
@@ -99,50 +102,50 @@
         return read;
     }
 
-    private void load(JsonNode tree, TomlLineIndex places, List<FileProblem> faults) {
+    private void load(JsonNode tree, TomlLineIndex lineIndex, List<FileProblem> faults) {
         tree.fields().forEachRemaining(table -> {
             String name = table.getKey();
             Section<?> section = knownSections.get(name);
             if (section == null) {
-                faults.add(new FileProblem(places.lineOf(name), name, "is not known" + NameSuggestion.hint(name, knownSections.keySet())));
+                faults.add(new FileProblem(lineIndex.lineOf(name), name, "is not known" + NameSuggestion.hint(name, knownSections.keySet())));
             } else if (!table.getValue().isObject()) {
-                faults.add(new FileProblem(places.lineOf(name), name, "is a table: [" + name + "]"));
+                faults.add(new FileProblem(lineIndex.lineOf(name), name, "is a table: [" + name + "]"));
             } else {
-                load(section, table.getValue(), places, faults);
+                load(section, table.getValue(), lineIndex, faults);
             }
         });
     }
 
-    private void load(Section<?> section, JsonNode table, TomlLineIndex places, List<FileProblem> faults) {
+    private void load(Section<?> section, JsonNode table, TomlLineIndex lineIndex, List<FileProblem> faults) {
         List<String> names = new ArrayList<>(section.entries().stream().map(Section.Entry::name).toList());
         names.add(ENABLED_KEY);
         table.fieldNames().forEachRemaining(key -> {
             String path = section.name() + "." + key;
-            keyLines.put(path, places.lineOf(path));
+            keyLines.put(path, lineIndex.lineOf(path));
             if (!names.contains(key)) {
-                faults.add(new FileProblem(places.lineOf(path), path, "is not known" + NameSuggestion.hint(key, names)));
+                faults.add(new FileProblem(lineIndex.lineOf(path), path, "is not known" + NameSuggestion.hint(key, names)));
             }
         });
         JsonNode on = table.get(ENABLED_KEY);
         if (on != null && !on.isBoolean()) {
             String path = section.name() + "." + ENABLED_KEY;
-            faults.add(new FileProblem(places.lineOf(path), path, "is true or false, not " + on));
+            faults.add(new FileProblem(lineIndex.lineOf(path), path, "is true or false, not " + on));
         }
         Record record = section.read(table, fault -> {
             String path = section.name() + (fault.key().isEmpty() ? "" : "." + fault.key());
-            faults.add(new FileProblem(places.lineOf(path), path, fault.problem()));
+            faults.add(new FileProblem(lineIndex.lineOf(path), path, fault.problem()));
         });
         if (record != null && (on == null || on.booleanValue())) {
             this.enabledSections.put(section.name(), record);
         }
     }
 
-    /** What a section says, where it is on. */
+    /** Returns a section where it is enabled. */
     public <S extends Record> Optional<S> section(Section<S> section) {
         return Optional.ofNullable(enabledSections.get(section.name())).map(section.type()::cast);
     }
 
-    /** Every value in force, section by section; those of sections that are off are left out. */
+    /** Returns every value in force, section by section, without sections that are disabled. */
     public List<EffectiveValue> effectiveValues() {
         List<EffectiveValue> all = new ArrayList<>();
         enabledSections.forEach((name, record) -> {
@@ -157,7 +160,7 @@
         return all;
     }
 
-    /** What differs in the newer file; a section that is only now on or off is one change, of its name. */
+    /** Returns what differs in a newer file; a section that was enabled or disabled is one change, with its name as the key. */
     public List<Change> changes(OperatorFile newer) {
         List<Change> all = new ArrayList<>();
         Map<String, Section<?>> sections = new LinkedHashMap<>(knownSections);
@@ -172,10 +175,10 @@
                 continue;
             }
             for (Section.Entry entry : section.entries()) {
-                String was = section.formattedValue(before, entry);
-                String is = section.formattedValue(after, entry);
-                if (!was.equals(is)) {
-                    all.add(new Change(section.name() + "." + entry.name(), was, is, entry.key().live()));
+                String oldValue = section.formattedValue(before, entry);
+                String newValue = section.formattedValue(after, entry);
+                if (!oldValue.equals(newValue)) {
+                    all.add(new Change(section.name() + "." + entry.name(), oldValue, newValue, entry.key().live()));
                 }
             }
         }
--- a/operator/src/main/java/wrenreach/operator/Section.java
+++ b/operator/src/main/java/wrenreach/operator/Section.java
@@ -13,16 +13,16 @@
 import java.util.regex.Pattern;
 
 /**
- * A table of the operator's file and the record that it is read into. A component is boolean, int, long, double, String,
- * Path or a list of String or Integer, and has a {@link Key}. The record's constructor may check what spans several keys and throw
- * IllegalArgumentException.
+ * A table of the operator's file and the record that it is read into. Each component of the record is a boolean, int, long, double,
+ * String, Path or a list of String or Integer, and has a {@link Key}. The constructor of the record may check rules that span several
+ * keys and throw IllegalArgumentException.
  */
 public record Section<S extends Record>(String name, Class<S> type) {
     private static final Pattern BEFORE_CAPITAL = Pattern.compile("(?=[A-Z])");
 
     /** One key of a section. */
     record Entry(String name, Key key, Class<?> type, boolean integerList) {
-        /** The value that a text stands for. */
+        /** Parses the text of a default or a limit. */
         Object parse(String text) {
             if (type == boolean.class) {
                 return Boolean.valueOf(text);
@@ -41,7 +41,7 @@
             return text;
         }
 
-        /** The value as it would stand in the file. */
+        /** Formats a value as it is written in the file. */
         String format(Object value) {
             if (value instanceof Number number && type != double.class) {
                 return key.unit() == Unit.PLAIN ? value.toString() : '"' + key.unit().format(number.longValue()) + '"';
@@ -63,18 +63,18 @@
                 component.getGenericType().getTypeName().endsWith("<java.lang.Integer>"));
     }
 
-    /** The record of a table; what is wrong goes to faults (key and text), and the result is then null. */
-    S read(JsonNode table, Consumer<FileProblem> faults) {
+    /** Reads a table into its record. Problems are passed to the consumer with key and text but no line, and the result is then null. */
+    S read(JsonNode table, Consumer<FileProblem> problems) {
         List<Object> values = new ArrayList<>();
-        boolean[] wrong = {false};
-        Consumer<FileProblem> told = fault -> {
-            wrong[0] = true;
-            faults.accept(fault);
+        boolean[] failed = {false};
+        Consumer<FileProblem> collector = problem -> {
+            failed[0] = true;
+            problems.accept(problem);
         };
         for (Entry entry : entries()) {
-            values.add(value(entry, table.get(entry.name), told));
+            values.add(value(entry, table.get(entry.name), collector));
         }
-        if (wrong[0]) {
+        if (failed[0]) {
             return null;
         }
         try {
@@ -84,14 +84,14 @@
             constructor.setAccessible(true);
             return constructor.newInstance(values.toArray());
         } catch (InvocationTargetException e) {
-            faults.accept(new FileProblem(0, "", e.getCause().getMessage()));
+            problems.accept(new FileProblem(0, "", e.getCause().getMessage()));
             return null;
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("section " + name + " has no usable record", e);
         }
     }
 
-    private static Object value(Entry entry, JsonNode given, Consumer<FileProblem> faults) {
+    private static Object value(Entry entry, JsonNode given, Consumer<FileProblem> problems) {
         Key key = entry.key;
         try {
             if (given == null) {
@@ -104,7 +104,7 @@
             check(entry, value);
             return value;
         } catch (IllegalArgumentException e) {
-            faults.accept(new FileProblem(0, entry.name, e.getMessage()));
+            problems.accept(new FileProblem(0, entry.name, e.getMessage()));
             return null;
         }
     }
@@ -146,11 +146,11 @@
             }
             return List.copyOf(texts);
         }
-        String form = type == boolean.class ? "true or false" : type == String.class ? "a text in quotes"
+        String expectedForm = type == boolean.class ? "true or false" : type == String.class ? "a text in quotes"
                 : type == Path.class ? "the path of a file in quotes" : type == List.class ? entry.integerList ? "a list of whole numbers" : "a list of texts"
                 : type == double.class ? "a number" : entry.key.unit() == Unit.PLAIN ? "a whole number"
                 : entry.key.unit().expectedForm();
-        throw new IllegalArgumentException("is " + form + ", not " + given);
+        throw new IllegalArgumentException("is " + expectedForm + ", not " + given);
     }
 
     private static void check(Entry entry, Object value) {
@@ -168,19 +168,21 @@
         }
     }
 
-    private static void checkBound(Entry entry, Number value, String limit, boolean least) {
+    /** Throws IllegalArgumentException where a value is beyond a limit; an empty limit is none. */
+    private static void checkBound(Entry entry, Number value, String limit, boolean minimum) {
         if (!limit.isEmpty()) {
             int order = Double.compare(value.doubleValue(), ((Number) entry.parse(limit)).doubleValue());
-            if (least ? order < 0 : order > 0) {
-                throw new IllegalArgumentException("is " + entry.format(value) + ", but at " + (least ? "least " : "most ")
+            if (minimum ? order < 0 : order > 0) {
+                throw new IllegalArgumentException("is " + entry.format(value) + ", but at " + (minimum ? "least " : "most ")
                         + limit + " is allowed");
             }
         }
     }
 
     /**
-     * The section that is in force after a reload: live keys as the newer one has them, all others as they were. Guards a
-     * subsystem against half a change; where the two don't go together, what was in force stays.
+     * Returns the section that applies after a reload: live keys have the values of the newer section, all others keep theirs.
+     * Where the record's constructor rejects that combination, the section in force stays whole, so that a subsystem never sees part
+     * of a change.
      */
     @SuppressWarnings("unchecked")
     public S mergeReloaded(Record inForce, Record newer) {
@@ -203,7 +205,7 @@
         }
     }
 
-    /** The value of a key, as it would stand in the file. */
+    /** Returns the value of a key, formatted as in the file. */
     String formattedValue(Record section, Entry entry) {
         try {
             for (RecordComponent component : type.getRecordComponents()) {
--- a/operator/src/main/java/wrenreach/operator/TomlLineIndex.java
+++ b/operator/src/main/java/wrenreach/operator/TomlLineIndex.java
@@ -6,9 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Which line of a file in TOML each key stands on. The library that reads the file does not tell; this looks at a file
- * that it has found to be sound, so only heads of tables, keys at the start of a line, and texts and lists of several
- * lines need to be told apart. A key that is not found (an inline table's) has its table's line.
+ * Finds the line of each key of a TOML file, which the parsing library does not report. The file has passed that parser
+ * already, so only table headers, keys at the start of a line, and multi-line strings and lists have to be told apart. A key that is
+ * not found (one of an inline table) is given the line of its table.
  */
 final class TomlLineIndex {
     private static final Pattern TABLE_HEADER = Pattern.compile("\\s*\\[\\[?\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
@@ -18,20 +18,20 @@
 
     TomlLineIndex(String text) {
         String table = "";
-        String fence = null;
-        int open = 0;
+        String openDelimiter = null;
+        int openBrackets = 0;
         int number = 0;
         for (String line : text.split("\n", -1)) {
             number++;
             String rest = line;
-            if (fence != null) {
-                int end = line.indexOf(fence);
+            if (openDelimiter != null) {
+                int end = line.indexOf(openDelimiter);
                 if (end < 0) {
                     continue;
                 }
                 rest = line.substring(end + 3);
-                fence = null;
-            } else if (open == 0) {
+                openDelimiter = null;
+            } else if (openBrackets == 0) {
                 Matcher head = TABLE_HEADER.matcher(line);
                 Matcher key = KEY_AND_VALUE.matcher(line);
                 if (head.matches()) {
@@ -50,11 +50,11 @@
                 if (c == '#') {
                     break;
                 } else if (c == '"' || c == '\'') {
-                    String three = String.valueOf(c).repeat(3);
-                    if (rest.startsWith(three, i)) {
-                        int end = rest.indexOf(three, i + 3);
+                    String delimiter = String.valueOf(c).repeat(3);
+                    if (rest.startsWith(delimiter, i)) {
+                        int end = rest.indexOf(delimiter, i + 3);
                         if (end < 0) {
-                            fence = three;
+                            openDelimiter = delimiter;
                             break;
                         }
                         i = end + 2;
@@ -62,14 +62,15 @@
                         i = closingQuote(rest, i);
                     }
                 } else if (c == '[' || c == '{') {
-                    open++;
+                    openBrackets++;
                 } else if (c == ']' || c == '}') {
-                    open--;
+                    openBrackets--;
                 }
             }
         }
     }
 
+    /** Returns the index of the quote that closes the string that starts at the given index. */
     private static int closingQuote(String text, int from) {
         char quote = text.charAt(from);
         int i = from + 1;
@@ -83,10 +84,10 @@
         return name.replaceAll("[\"'\\s]", "");
     }
 
-    /** The line of a key's path, or of what it stands in; 0: unknown. */
+    /** Returns the line of a dotted path, or of the nearest enclosing table; 0 where neither is known. */
     int lineOf(String path) {
-        for (String at = path; !at.isEmpty(); at = at.contains(".") ? at.substring(0, at.lastIndexOf('.')) : "") {
-            Integer line = lines.get(at);
+        for (String prefix = path; !prefix.isEmpty(); prefix = prefix.contains(".") ? prefix.substring(0, prefix.lastIndexOf('.')) : "") {
+            Integer line = lines.get(prefix);
             if (line != null) {
                 return line;
             }
--- a/operator/src/main/java/wrenreach/operator/Unit.java
+++ b/operator/src/main/java/wrenreach/operator/Unit.java
@@ -5,41 +5,42 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** How a number is written in the operator's file, and what it counts inside. */
+/** The unit of a number: how it is written in the operator's file, and what it is converted to. */
 public enum Unit {
-    /** A number as it stands. */
+    /** A plain number, not converted. */
     PLAIN("a number", Map.of()),
-    /** Whole microseconds inside. */
+    /** A time, converted to whole microseconds. */
     DURATION("a time such as \"500ms\" (us, ms, s, m, h)", orderedFactors("h", 3_600_000_000L, "m", 60_000_000L,
             "s", 1_000_000L, "ms", 1000L, "us", 1L)),
-    /** Bytes inside. */
+    /** A size, converted to bytes. */
     SIZE("a size such as \"64KiB\" (B, KiB, MiB, GiB)", orderedFactors("GiB", 1L << 30, "MiB", 1L << 20, "KiB", 1L << 10,
             "B", 1L));
 
     private static final Pattern NUMBER = Pattern.compile("([0-9]{1,15})([A-Za-z]+)");
 
     private final String expectedForm;
+    /** Suffixes and their factors, largest first. */
     private final Map<String, Long> factors;
 
-    Unit(String form, Map<String, Long> steps) {
-        this.expectedForm = form;
-        this.factors = steps;
+    Unit(String expectedForm, Map<String, Long> factors) {
+        this.expectedForm = expectedForm;
+        this.factors = factors;
     }
 
     private static Map<String, Long> orderedFactors(Object... namesAndValues) {
-        Map<String, Long> steps = new LinkedHashMap<>();
+        Map<String, Long> factors = new LinkedHashMap<>();
         for (int i = 0; i < namesAndValues.length; i += 2) {
-            steps.put((String) namesAndValues[i], (Long) namesAndValues[i + 1]);
+            factors.put((String) namesAndValues[i], (Long) namesAndValues[i + 1]);
         }
-        return steps;
+        return factors;
     }
 
-    /** What a value has to look like. */
+    /** Describes the expected form of a value, for error messages. */
     String expectedForm() {
         return expectedForm;
     }
 
-    /** The number that a text stands for; IllegalArgumentException says what it should look like. */
+    /** Parses a text; throws IllegalArgumentException with the expected form if it is malformed or too large. */
     public long parse(String text) {
         Matcher parts = NUMBER.matcher(text.strip());
         if (this == PLAIN) {
@@ -55,11 +56,11 @@
         }
     }
 
-    /** The shortest text that stands for the number. */
+    /** Formats a number with the largest suffix that divides it; parse returns the same number. */
     public String format(long value) {
-        for (Map.Entry<String, Long> step : factors.entrySet()) {
-            if (value != 0 && value % step.getValue() == 0) {
-                return value / step.getValue() + step.getKey();
+        for (Map.Entry<String, Long> factor : factors.entrySet()) {
+            if (value != 0 && value % factor.getValue() == 0) {
+                return value / factor.getValue() + factor.getKey();
             }
         }
         return this == PLAIN ? Long.toString(value) : "0" + (this == DURATION ? "ms" : "B");
--- a/operator/src/test/java/wrenreach/operator/OperatorFileTest.java
+++ b/operator/src/test/java/wrenreach/operator/OperatorFileTest.java
@@ -45,7 +45,7 @@
             parse(text);
             return List.of();
         } catch (OperatorFile.InvalidFileException e) {
-            return e.faults().stream().map(fault -> fault.format(FILE)).toList();
+            return e.faults().stream().map(problem -> problem.format(FILE)).toList();
         }
     }
 
@@ -62,7 +62,7 @@
         assertThat(file.section(SAMPLE)).contains(new Sample(500_000, 65_536, 1, "all", Path.of("/var/lib"),
                 List.of("a", "share = 7", "c#"), 3));
         assertThat(file.section(OTHER)).isEmpty();
-        assertThat(file.effectiveValues()).extracting(shown -> shown.key() + " " + shown.value() + " " + shown.origin())
+        assertThat(file.effectiveValues()).extracting(value -> value.key() + " " + value.value() + " " + value.origin())
                 .containsExactly("sample.look_every \"500ms\" own.toml:3", "sample.most_bytes \"64KiB\" default",
                         "sample.share 1.0 own.toml:7", "sample.scope \"all\" default",
                         "sample.folder \"/var/lib\" own.toml:4", "sample.names [\"a\", \"share = 7\", \"c#\"] own.toml:5",
@@ -103,19 +103,19 @@
         "[sample]\\nfolder='f'\\nshare=inf | own.toml:3: sample.share: is not a finite number",
         "[sample]\\non = 1\\nfolder='f' | own.toml:2: sample.on: is true or false, not 1",
     })
-    void eachProblemIsReportedAsOneLine(String text, String fault) {
-        assertThat(problems(text.replace("\\n", "\n"))).containsExactly(fault);
+    void eachProblemIsReportedAsOneLine(String text, String problem) {
+        assertThat(problems(text.replace("\\n", "\n"))).containsExactly(problem);
     }
 
-    /** Guards against files that are no TOML: the line is told, cut anywhere it is never half used. */
+    /** A file that is not TOML is rejected with the line of the problem; a valid file that is cut off anywhere is either valid or rejected. */
     @Test void invalidTomlIsOneProblemWithItsLine() {
         assertThat(problems("[sample]\nfolder = \"f\"\ncount = = 3\n").get(0)).startsWith("own.toml:3: can't be read as TOML");
         assertThat(problems("[sample]\nfolder = 'f'\nfolder = 'g'\n").get(0)).startsWith("own.toml:").contains("TOML");
         String whole = "[other]\nloud = true\n[sample]\nfolder = \"f\"\nnames = [\"\"\"a\n[x]\nb = 3\"\"\", 'c']\n";
         assertThat(problems(whole)).isEmpty();
         for (int cut = 0; cut < whole.length(); cut++) {
-            for (String fault : problems(whole.substring(0, cut))) {
-                assertThat(fault).startsWith("own.toml");
+            for (String problem : problems(whole.substring(0, cut))) {
+                assertThat(problem).startsWith("own.toml");
             }
         }
         assertThatThrownBy(() -> OperatorFile.parse(FILE, new byte[] {(byte) 0xC3, 40}, List.of()))
@@ -131,9 +131,9 @@
                 new OperatorFile.Change("sample.look_every", "\"2s\"", "\"3s\"", true),
                 new OperatorFile.Change("sample.folder", "\"f\"", "\"g\"", false),
                 new OperatorFile.Change("other", "off", "on", false));
-        Sample inForce = before.section(SAMPLE).orElseThrow();
+        Sample active = before.section(SAMPLE).orElseThrow();
         Sample newer = parse("[sample]\nfolder='g'\nlook_every='3s'\ncount=4").section(SAMPLE).orElseThrow();
-        assertThat(SAMPLE.mergeReloaded(inForce, newer)).isEqualTo(
+        assertThat(SAMPLE.mergeReloaded(active, newer)).isEqualTo(
                 new Sample(3_000_000, 65_536, 0.5, "all", Path.of("f"), List.of(), 3));
         assertThat(OperatorFile.none().changes(before)).containsExactly(
                 new OperatorFile.Change("sample", "off", "on", false));
--- a/wire/src/main/java/wrenreach/wire/FrameReader.java
+++ b/wire/src/main/java/wrenreach/wire/FrameReader.java
@@ -8,24 +8,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads batches of events from a stream. */
+/** Reads batches of events from a stream, in frames of little-endian fields. Malformed input ends in a {@link WireException}. */
 public final class FrameReader {
+    /** Header of a batch: clock, length, count of records. */
     private static final int HEADER_BYTES = 16;
+    /** Size of a host entry in a manifest. */
     private static final int HOST_BYTES = 23;
+    /** How many roster numbers there are, from 0. */
     private static final int ROSTER_LIMIT = 16;
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final InputStream in;
     private ByteBuffer frame;
+    /** The current record as error messages name it: index and event name. */
     private String recordLabel;
+    /** Where the current record starts, in bytes after the header. */
     private int recordStart;
+    /** Where the field whose range is checked starts, in bytes after the header. */
     private int fieldStart;
 
     public FrameReader(InputStream in) {
         this.in = in;
     }
 
-    /** The next batch, or null at the end of input between frames. */
+    /** Returns the next batch, or null where the input ends between frames. */
     public Event.Batch read() throws IOException {
         byte[] head = in.readNBytes(HEADER_BYTES);
         if (head.length == 0) {
@@ -135,14 +141,15 @@
         return checkMaximum(ROSTER_LIMIT - 1, "list number", u16("RosterId"));
     }
 
-    private int markedU8(String what) throws WireException {
+    /** Reads a byte and remembers its place for the message of a failed range check. */
+    private int markedU8(String field) throws WireException {
         fieldStart = frame.position();
-        return u8(what);
+        return u8(field);
     }
 
-    private int checkMaximum(int most, String what, int value) throws WireException {
-        if (value > most) {
-            throw malformed(fieldStart, "a " + what + " from 0 to " + most + ", got " + value);
+    private int checkMaximum(int maximum, String field, int value) throws WireException {
+        if (value > maximum) {
+            throw malformed(fieldStart, "a " + field + " from 0 to " + maximum + ", got " + value);
         }
         return value;
     }
@@ -224,9 +231,9 @@
         return frame.getDouble();
     }
 
-    private void requireBytes(long bytes, String what) throws WireException {
+    private void requireBytes(long bytes, String expected) throws WireException {
         if (frame.remaining() < bytes) {
-            throw malformed(frame.position(), what + ", the frame ended");
+            throw malformed(frame.position(), expected + ", the frame ended");
         }
     }
 
--- a/wire/src/main/java/wrenreach/wire/WireException.java
+++ b/wire/src/main/java/wrenreach/wire/WireException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The input does not follow the wire; the message is one plain line. */
+/** The input does not follow the protocol; the message is one line of text. */
 public final class WireException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/wire/src/main/java/wrenreach/wirehost/Node.java
+++ b/wire/src/main/java/wrenreach/wirehost/Node.java
@@ -17,27 +17,28 @@
 import wrenreach.wire.Event;
 import wrenreach.wire.ReplyWriter;
 
-/** One life of one delivery node: its module and the objects that the wire's ids stand for. */
+/** One incarnation of a delivery node: its dispatcher, and the objects that the ids of the protocol stand for. */
 final class Node {
     final int number;
+    /** Sent as the label of a wake-up. */
     private final int incarnation;
     private final Dispatcher dispatcher;
     private final Map<Long, Mail> mails = new HashMap<>();
     private final Directory<Long> directory = new Directory<>();
     private final List<Action> actions = new ArrayList<>();
 
-    Node(int number, int life, Dispatcher module) {
+    Node(int number, int incarnation, Dispatcher dispatcher) {
         this.number = number;
-        this.incarnation = life;
-        this.dispatcher = module;
+        this.incarnation = incarnation;
+        this.dispatcher = dispatcher;
     }
 
     void view(Event.View view, List<Event.Host> hosts, long now) {
         List<EndpointUpdate.Entry> entries = new ArrayList<>(hosts.size());
         for (Event.Host host : hosts) {
-            Destination to = directory.destination(host.dest());
+            Destination destination = directory.destination(host.dest());
             Endpoint endpoint = directory.endpoint(host.endpoint(),
-                    () -> new Endpoint(host.endpoint(), to, host.sku(), host.zone()));
+                    () -> new Endpoint(host.endpoint(), destination, host.sku(), host.zone()));
             entries.add(new EndpointUpdate.Entry(endpoint, state(host.availability()), host.share()));
         }
         actions.addAll(dispatcher.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.values()[view.scope()], entries), now));
@@ -56,8 +57,8 @@
         if (mail == null || response.number() >= mail.attempts.size()) {
             return;
         }
-        DeliveryAttempt connect = mail.attempts.get(response.number());
-        actions.addAll(dispatcher.attemptEnded(connect, outcome(response), response.feedback(), response.done(), now));
+        DeliveryAttempt attempt = mail.attempts.get(response.number());
+        actions.addAll(dispatcher.attemptEnded(attempt, outcome(response), response.feedback(), response.done(), now));
         removeIfFinished(mail, response.call());
     }
 
@@ -69,39 +70,42 @@
         }
     }
 
+    /** Ends a batch: removes unused order keys and endpoints from the directory, and collects what the dispatcher wants done next. */
     void collectNextActions(long now) {
         directory.sweep(now);
         actions.addAll(dispatcher.nextActions(now));
     }
 
+    /** Writes the collected actions to the reply and clears them. */
     void writeActions(ReplyWriter reply) {
-        for (Action answer : actions) {
-            if (answer instanceof Action.Send send) {
-                DeliveryAttempt connect = send.attempt();
-                reply.callOut(number, connect.mail.id, connect.endpoint.address, connect.timeoutAt);
-            } else if (answer instanceof Action.Cancel revoke) {
-                reply.revoke(number, revoke.attempt().mail.id, revoke.attempt().number);
-            } else if (answer instanceof Action.Defer defer) {
+        for (Action action : actions) {
+            if (action instanceof Action.Send send) {
+                DeliveryAttempt attempt = send.attempt();
+                reply.callOut(number, attempt.mail.id, attempt.endpoint.address, attempt.timeoutAt);
+            } else if (action instanceof Action.Cancel cancel) {
+                reply.revoke(number, cancel.attempt().mail.id, cancel.attempt().number);
+            } else if (action instanceof Action.Defer defer) {
                 reply.reject(number, defer.mail().id, defer.retryAfter());
                 removeIfFinished(defer.mail(), defer.mail().id);
-            } else if (answer instanceof Action.Bounce bounce) {
+            } else if (action instanceof Action.Bounce bounce) {
                 reply.fail(number, bounce.mail().id);
                 removeIfFinished(bounce.mail(), bounce.mail().id);
-            } else if (answer instanceof Action.WakeUp wake) {
+            } else if (action instanceof Action.WakeUp wake) {
                 reply.notifyMe(number, incarnation, wake.delay());
-            } else if (answer instanceof Action.ReleaseConnections release) {
+            } else if (action instanceof Action.ReleaseConnections release) {
                 reply.release(number, release.endpoint().address);
-            } else if (answer instanceof Action.SubscribeToList) {
+            } else if (action instanceof Action.SubscribeToList) {
                 reply.track(number);
-            } else if (answer instanceof Action.FetchList) {
+            } else if (action instanceof Action.FetchList) {
                 reply.listAll(number);
-            } else if (answer instanceof Action.LogNote note) {
+            } else if (action instanceof Action.LogNote note) {
                 reply.journalLine(number, note.text());
             }
         }
         actions.clear();
     }
 
+    /** Removes a mail that the dispatcher is done with and that has no attempt in flight. */
     private void removeIfFinished(Mail mail, long id) {
         if (mail.finished && mail.inFlight == 0) {
             mails.remove(id);
--- a/wire/src/main/java/wrenreach/wirehost/WireHost.java
+++ b/wire/src/main/java/wrenreach/wirehost/WireHost.java
@@ -21,26 +21,32 @@
 import wrenreach.wire.ReplyWriter;
 import wrenreach.wire.WireException;
 
-/** Hosts many delivery nodes on the wire. */
+/**
+ * Runs many delivery nodes over the simulator's binary protocol: reads batches of events, passes them to the nodes' dispatchers and
+ * answers each batch with one frame of actions. For one thread.
+ */
 public final class WireHost {
     private final FrameReader in;
     private final OutputStream out;
     private final PrintStream err;
     private final Function<Settings, Dispatcher> dispatcherFactory;
+    /** The hosts of each manifest, by roster number. */
     private final Map<Integer, List<Event.Host>> rosters = new HashMap<>();
     private final Map<Integer, Node> nodes = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
+    /** Nodes that events of the current batch concern: only these are asked for actions. */
     private final Set<Node> affectedNodes = new LinkedHashSet<>();
+    /** How many nodes have been enlisted; the number tells the incarnations of a node apart. */
     private int incarnations;
 
-    public WireHost(InputStream in, OutputStream out, PrintStream err, Function<Settings, Dispatcher> module) {
+    public WireHost(InputStream in, OutputStream out, PrintStream err, Function<Settings, Dispatcher> dispatcherFactory) {
         this.in = new FrameReader(new BufferedInputStream(in, 1 << 16));
         this.out = new BufferedOutputStream(out, 1 << 16);
         this.err = err;
-        this.dispatcherFactory = module;
+        this.dispatcherFactory = dispatcherFactory;
     }
 
-    /** Serves until the end of input; the result is the exit code. */
+    /** Serves until the end of input. Returns the exit code: 0, or 1 after malformed input or a failed read or write. */
     public int run() {
         try {
             for (Event.Batch batch = in.read(); batch != null; batch = in.read()) {
@@ -97,6 +103,7 @@
         }
     }
 
+    /** Starts a new incarnation of a node; one that is still there is dropped. */
     private void enlist(Event.Enlist enlist) {
         affectedNodes.remove(nodes.remove(enlist.node()));
         try {
@@ -109,17 +116,19 @@
         }
     }
 
-    private void deliver(int number, java.util.function.Consumer<Node> what) {
+    /** Passes an event to a node; events for a node that is not enlisted are dropped. */
+    private void deliver(int number, java.util.function.Consumer<Node> action) {
         Node node = nodes.get(number);
         if (node != null) {
             affectedNodes.add(node);
-            runGuarded(node, what);
+            runGuarded(node, action);
         }
     }
 
-    private void runGuarded(Node node, java.util.function.Consumer<Node> what) {
+    /** Runs an action on a node; a node whose dispatcher throws is removed and reported as faulty, and the other nodes go on. */
+    private void runGuarded(Node node, java.util.function.Consumer<Node> action) {
         try {
-            what.accept(node);
+            action.accept(node);
         } catch (RuntimeException e) {
             nodes.remove(node.number);
             affectedNodes.remove(node);
--- a/wire/src/test/java/wrenreach/WireTest.java
+++ b/wire/src/test/java/wrenreach/WireTest.java
@@ -17,8 +17,11 @@
 import wrenreach.wire.WireException;
 import wrenreach.wirehost.WireHost;
 
+/** Reads and writes frames of the simulator's protocol, given as hexadecimal text, and runs whole nodes over it. */
 class WireTest {
+    /** The clock of every batch: 8.41225 s as a little-endian double. */
     private static final String CLOCK_HEX = "508d976e12d32040";
+    /** The settings that a node can't start without, and an unknown one. */
     private static final String MINIMAL_SETTINGS = "Tick=0.005\nLimits.MaxOpen=10\nFamilyInfo.MaxCalls=4\nClasses.count=1\n"
             + "Classes.0.Promise=2.5\nClasses.0.Deadline=28\nClasses.0.Effect=token\nUnknown.Key=x\n";
 
@@ -49,13 +52,13 @@
     }
 
     @Test void readsOutcomesWithTheirReports() throws IOException {
-        Event.Response r = (Event.Response) read(batch(1, "05 0300 c4913a5d07b60000 0000 0a124a07 2b23 02"
+        Event.Response response = (Event.Response) read(batch(1, "05 0300 c4913a5d07b60000 0000 0a124a07 2b23 02"
                 + "8b6ce7fba9f1923f 01 2c010000 02 cdcccc3e0000a03f")).events().get(0);
-        assertThat(r.endpoint()).isEqualTo(0x0a124a07232bL);
-        assertThat(r.result()).isEqualTo(2);
-        assertThat(r.done()).isTrue();
-        assertThat(r.detail()).isEqualTo(300);
-        assertThat(r.feedback()[1]).isEqualTo(1.25);
+        assertThat(response.endpoint()).isEqualTo(0x0a124a07232bL);
+        assertThat(response.result()).isEqualTo(2);
+        assertThat(response.done()).isTrue();
+        assertThat(response.detail()).isEqualTo(300);
+        assertThat(response.feedback()[1]).isEqualTo(1.25);
     }
 
     @Test void readsManifestsAndViews() throws IOException {
@@ -101,6 +104,7 @@
         return "01 0300 0700000000000000" + littleEndian(conf.length()) + HexFormat.of().formatHex(conf.getBytes());
     }
 
+    /** Runs a host on the frames, checks its exit code and returns its output in hexadecimal, | and its error output. */
     private String runHost(int code, String... frames) {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         for (String frame : frames) {
