--- a/app/src/main/java/wrenreach/app/Serve.java
+++ b/app/src/main/java/wrenreach/app/Serve.java
@@ -80,7 +80,7 @@
             e.getMessage().lines().forEach(line -> err.println("wrenreach: " + line));
             return 2;
         } catch (OutOfMemoryError e) {
-            // The start ran out of memory while it read its files. What was read is garbage by now, so there is memory for this message.
+            // Reports a start that runs out of memory while it reads its files. What was read is garbage by now.
             err.println("wrenreach: " + FailureReport.outOfMemory(e) + ", the config " + configPath.toFile().length() / 1000 + " KB, the journal "
                     + state.resolve("journal").toFile().length() / 1000 + " KB: give it more memory (-Xmx in deploy/serve.options) or less"
                     + " to hold");
--- a/app/src/test/java/wrenreach/app/DescriptorsTest.java
+++ b/app/src/test/java/wrenreach/app/DescriptorsTest.java
@@ -23,9 +23,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole process whose descriptors a crowd of idle clients would fill while discovery is down. */
+/** A process whose file descriptors idle clients would use up while discovery is down. */
 class DescriptorsTest {
-    private static final int DESCRIPTOR_LIMIT = 300, CLIENT_COUNT = 800;
+    /** The limit of sockets in the config. */
+    private static final int DESCRIPTOR_LIMIT = 300;
+    /** How many clients connect and stay idle while discovery is down. */
+    private static final int CLIENT_COUNT = 800;
     @TempDir Path folder;
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<Socket> idleClients = new ArrayList<>();
@@ -33,8 +36,8 @@
     private HttpServer discovery;
 
     @AfterEach void close() throws Exception {
-        for (Socket one : idleClients) {
-            one.close();
+        for (Socket client : idleClients) {
+            client.close();
         }
         if (node != null) {
             node.destroyForcibly().waitFor();
@@ -51,72 +54,72 @@
         }
     }
 
-    /** The reserve that no client can take: discovery is heard again, a mail goes out, and who was shut unread comes back. */
+    /** Some descriptors are reserved from clients: discovery is reached again, a mail is sent, and clients that were closed unread reconnect. */
     @Test void idleClientsLeaveDescriptorsForOtherUses() throws Exception {
-        int door = ServeProcess.freePort(), agent = ServeProcess.freePort();
-        node = ServeProcess.start(folder, ServeProcess.config(door, agent).replace("\"sockets\": 512", "\"sockets\": " + DESCRIPTOR_LIMIT), door);
-        // Files of the machine's own (libraries, archives) are no descriptors of the node's limit.
+        int listenerPort = ServeProcess.freePort(), discoveryPort = ServeProcess.freePort();
+        node = ServeProcess.start(folder, ServeProcess.config(listenerPort, discoveryPort).replace("\"sockets\": 512", "\"sockets\": " + DESCRIPTOR_LIMIT), listenerPort);
+        // Files of the JVM itself (libraries, archives) don't count towards the node's limit.
         long before = openDescriptors();
-        AtomicInteger most = new AtomicInteger();
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicInteger maxDescriptors = new AtomicInteger();
+        AtomicBoolean finished = new AtomicBoolean();
         threads.execute(() -> {
-            while (!over.get()) {
+            while (!finished.get()) {
                 try {
-                    most.accumulateAndGet((int) openDescriptors(), Math::max);
+                    maxDescriptors.accumulateAndGet((int) openDescriptors(), Math::max);
                 } catch (IOException e) {
                     return;
                 }
             }
         });
         for (int i = 0; i < CLIENT_COUNT; i++) {
-            connectIdleClient(door, i % 2 == 0);
+            connectIdleClient(listenerPort, i % 2 == 0);
         }
-        LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        LinkedBlockingQueue<String> called = new LinkedBlockingQueue<>();
-        discovery = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), agent), 50);
+        LinkedBlockingQueue<String> discoveryRequests = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
+        discovery = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), discoveryPort), 50);
         discovery.setExecutor(threads);
         discovery.createContext("/api/targets", exchange -> {
-            asked.add(exchange.getRequestURI().toString());
+            discoveryRequests.add(exchange.getRequestURI().toString());
             exchange.sendResponseHeaders(200, 0);
             exchange.getResponseBody().write(("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"receiver-1\",\"address\":\"127.0.0.1:"
-                    + agent + "\",\"zone\":\"home\",\"type\":\"small\",\"group\":1,\"status\":\"SERVING\",\"weight\":10}]}\n")
+                    + discoveryPort + "\",\"zone\":\"home\",\"type\":\"small\",\"group\":1,\"status\":\"SERVING\",\"weight\":10}]}\n")
                     .getBytes(StandardCharsets.US_ASCII));
-            exchange.getResponseBody().flush(); // A watch stays open.
+            exchange.getResponseBody().flush(); // The watch stays open.
         });
         discovery.createContext("/events", exchange -> {
-            called.add(exchange.getRequestHeaders().getFirst("X-Call-Id"));
+            calls.add(exchange.getRequestHeaders().getFirst("X-Call-Id"));
             exchange.getRequestBody().readAllBytes();
             exchange.sendResponseHeaders(200, -1);
             exchange.close();
         });
         discovery.start();
         for (int i = 0; i < CLIENT_COUNT / 2; i++) {
-            connectIdleClient(door, true); // The crowd goes on.
+            connectIdleClient(listenerPort, true); // More idle clients, while discovery is back.
         }
-        assertThat(asked.poll(20, TimeUnit.SECONDS)).as("discovery is asked again").isNotNull();
-        boolean taken = false;
-        for (int i = 0; i < 2000 && !taken; i++) {
-            taken = submit(door);
+        assertThat(discoveryRequests.poll(20, TimeUnit.SECONDS)).as("discovery is asked again").isNotNull();
+        boolean accepted = false;
+        for (int i = 0; i < 2000 && !accepted; i++) {
+            accepted = submit(listenerPort);
         }
-        assertThat(taken).as("who was shut unread comes back").isTrue();
-        assertThat(called.poll(20, TimeUnit.SECONDS)).as("its mail goes out").isEqualTo("m1");
-        over.set(true);
-        System.out.println("descriptors: " + before + " at rest, at most " + most.get() + " of " + DESCRIPTOR_LIMIT);
-        assertThat(most.get()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT);
+        assertThat(accepted).as("who was shut unread comes back").isTrue();
+        assertThat(calls.poll(20, TimeUnit.SECONDS)).as("its mail goes out").isEqualTo("m1");
+        finished.set(true);
+        System.out.println("descriptors: " + before + " at rest, at most " + maxDescriptors.get() + " of " + DESCRIPTOR_LIMIT);
+        assertThat(maxDescriptors.get()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT);
         assertThat(Files.readString(folder.resolve("log"))).doesNotContain("Too many open files");
     }
 
-    /** One more of the crowd; one that has asked once is not counted among those that never did, who have half of the room. */
-    private void connectIdleClient(int door, boolean asksOnce) throws IOException {
-        Socket one = new Socket(InetAddress.getLoopbackAddress(), door);
-        idleClients.add(one);
-        if (asksOnce) {
-            one.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
+    /** Connects one more idle client. Clients that never sent a request have half of the room; one that has sent one is not among them. */
+    private void connectIdleClient(int listenerPort, boolean sendsRequest) throws IOException {
+        Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort);
+        idleClients.add(client);
+        if (sendsRequest) {
+            client.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    private static boolean submit(int door) throws InterruptedException {
-        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+    private static boolean submit(int listenerPort) throws InterruptedException {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write(("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm1\r\n$35\r\nc=order,t=shop,d=15000,k=k-1,dest=1\r\n"
                     + "$5\r\nhello\r\n").getBytes(StandardCharsets.US_ASCII));
--- a/app/src/test/java/wrenreach/app/FailingNode.java
+++ b/app/src/test/java/wrenreach/app/FailingNode.java
@@ -16,17 +16,17 @@
 import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
-/** A node as a process that fails at one place, for real: memory is filled, the stack is used up, or something is thrown. */
+/** A node process that really fails at one place: it fills the heap, overflows the stack, or throws. */
 public final class FailingNode {
-    /** Where it fails: while it recovers (the list, an owed mail), in a turn, at a client's request, in a task put off. */
+    /** Where it fails: while it recovers (the list, an outstanding mail), in an iteration, at a client's request, or in a scheduled task. */
     enum Place { LISTED, RECOVERED, TURN, REQUEST, TASK }
 
-    /** By what. */
+    /** How it fails. */
     enum Kind { MEMORY, STACK, DEFECT, ASSERTION }
 
     private FailingNode() { }
 
-    /** place, kind, config file, state folder. */
+    /** Arguments: place, kind, config file, state folder. */
     public static void main(String[] words) throws Exception {
         Place place = Place.valueOf(words[0]);
         Kind kind = Kind.valueOf(words[1]);
@@ -47,7 +47,7 @@
                 for (int size = 1 << 20; true; size /= 2) {
                     try {
                         while (true) {
-                            // A chain: a list that can't grow any more would leave room.
+                            // A chain of arrays: a list that can't grow any more would leave some memory free.
                             held.set(0, size == 0 ? new Object[] {held.get(0)} : new Object[] {held.get(0), new byte[size]});
                         }
                     } catch (OutOfMemoryError e) {
@@ -56,7 +56,7 @@
                         }
                     }
                 }
-                // Never come to: memory ends before.
+                // Not reached: the heap is full before.
                 // fall through
             case STACK:
                 return fail(kind, held) + 1;
@@ -68,40 +68,40 @@
     }
 
     private static Dispatcher failingDispatcher(Place place, Kind kind, Settings settings) {
-        DeliveryDispatcher sound = new DeliveryDispatcher(settings);
+        DeliveryDispatcher delegate = new DeliveryDispatcher(settings);
         return new Dispatcher() {
-            /** What fills the memory stays, as a module's state would. */
+            /** Keeps what fills the heap reachable, as the state of a dispatcher would be. */
             private final List<Object> held = new ArrayList<>();
             private int admitted;
 
-            private void fails(Place here) {
+            private void failAt(Place here) {
                 if (here == place) {
                     fail(kind, held);
                 }
             }
 
             @Override public List<Action> admit(Mail mail, long now) {
-                // The folder owes one mail; what comes after it, a client brings.
-                fails(admitted++ > 0 ? Place.REQUEST : Place.RECOVERED);
-                return sound.admit(mail, now);
+                // The state folder has one outstanding mail; all later mails come from a client.
+                failAt(admitted++ > 0 ? Place.REQUEST : Place.RECOVERED);
+                return delegate.admit(mail, now);
             }
 
-            @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-                return sound.attemptEnded(connect, outcome, report, done, now);
+            @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] report, boolean done, long now) {
+                return delegate.attemptEnded(attempt, outcome, report, done, now);
             }
 
             @Override public List<Action> withdrawn(Mail mail, long now) {
-                return sound.withdrawn(mail, now);
+                return delegate.withdrawn(mail, now);
             }
 
-            @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-                fails(Place.LISTED);
-                return sound.endpointsUpdated(listing, now);
+            @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
+                failAt(Place.LISTED);
+                return delegate.endpointsUpdated(update, now);
             }
 
             @Override public List<Action> nextActions(long now) {
-                fails(Place.TURN);
-                return sound.nextActions(now);
+                failAt(Place.TURN);
+                return delegate.nextActions(now);
             }
         };
     }
--- a/app/src/test/java/wrenreach/app/FailureTest.java
+++ b/app/src/test/java/wrenreach/app/FailureTest.java
@@ -24,7 +24,7 @@
 import wrenreach.held.HeldMail;
 import wrenreach.held.Submission;
 
-/** Whole processes that can't go on: they end, with code 1 and one line, and leave the state folder as it was. */
+/** Processes that can't go on: they end with exit code 1 (2 where the config is rejected) and one line, and leave the state folder as it was. */
 class FailureTest {
     private static final Path SAMPLE = Path.of("deploy/sample.json");
     @TempDir Path folder;
@@ -33,7 +33,7 @@
         return folder.resolve("state");
     }
 
-    /** A folder that owes one mail. */
+    /** Prepares a state folder with one outstanding mail. */
     private void writeOutstandingMail() throws IOException {
         Files.createDirectories(state());
         Journal journal = Journal.open(state(), 2_000_000);
@@ -62,7 +62,7 @@
         return new ProcessBuilder(all).redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    /** A task of the loop that ends by a throw would by itself be logged at most, and the process stay. */
+    /** Without special handling, an exception in a task of the event loop would at most be logged, and the process would stay. */
     @ParameterizedTest
     @CsvSource({"LISTED, MEMORY", "LISTED, STACK", "LISTED, DEFECT", "RECOVERED, MEMORY", "RECOVERED, ASSERTION", "TURN, MEMORY",
         "TURN, STACK", "TURN, DEFECT", "REQUEST, MEMORY", "REQUEST, STACK", "REQUEST, DEFECT", "TASK, MEMORY", "TASK, ASSERTION",
@@ -70,18 +70,18 @@
     void anUnrecoverableNodeEndsWithOneLogLine(FailingNode.Place place, FailingNode.Kind kind) throws Exception {
         writeOutstandingMail();
         Map<String, String> before = stateFiles();
-        int door;
+        int listenerPort;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            door = free.getLocalPort();
+            listenerPort = free.getLocalPort();
         }
         Path config = Files.writeString(folder.resolve("config.json"),
-                Files.readString(SAMPLE).replace("127.0.0.1:0", "127.0.0.1:" + door));
+                Files.readString(SAMPLE).replace("127.0.0.1:0", "127.0.0.1:" + listenerPort));
         Path log = folder.resolve("log");
         Process node = start(log, List.of("-XX:+UseSerialGC", "-Xmx32m", "-XX:TieredStopAtLevel=1"), FailingNode.class.getName(),
                 place.name(), kind.name(), config.toString(), state().toString());
         try {
             if (place == FailingNode.Place.REQUEST) {
-                submit(node, door);
+                submit(node, listenerPort);
             }
             assertThat(node.waitFor(20, TimeUnit.SECONDS)).as("it ends: %s", Files.readString(log)).isTrue();
             String text = Files.readString(log);
@@ -100,21 +100,21 @@
         }
     }
 
-    private static void submit(Process node, int door) throws Exception {
+    private static void submit(Process node, int listenerPort) throws Exception {
         for (int i = 0; node.isAlive() && i < 2000; i++) {
-            try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+            try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
                 client.setSoTimeout(20_000);
                 client.getOutputStream().write(("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm2\r\n$35\r\nc=order,t=shop,d=15000,k=k-2,dest=1\r\n"
                         + "$5\r\nhello\r\n").getBytes(StandardCharsets.US_ASCII));
                 assertThat(client.getInputStream().read()).isEqualTo(-1);
                 return;
             } catch (IOException e) {
-                Thread.sleep(10); // It does not listen yet, or has ended meanwhile.
+                Thread.sleep(10); // It does not listen yet, or has ended already.
             }
         }
     }
 
-    /** A list that is too long for the memory that the config grants is refused with the figure, before the folder is touched. */
+    /** A list that is too long for the memory limit of the config is rejected with the figures, before the state folder is touched. */
     @Test void aConfigTooLargeForMemoryIsRejectedWithTheFigures() throws Exception {
         writeOutstandingMail();
         Map<String, String> before = stateFiles();
--- a/app/src/test/java/wrenreach/app/LoadTest.java
+++ b/app/src/test/java/wrenreach/app/LoadTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import wrenreach.lab.LabCommand;
 
-/** Fleets of processes of the program, with faults between them, judged from outside. */
+/** Fleets of node processes with injected faults, checked by what receivers, platform and clients observe. */
 @Execution(ExecutionMode.CONCURRENT)
 class LoadTest {
     @TempDir Path folder;
@@ -58,7 +58,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** Each day is played by three processes, its faults happen, and the rules hold. */
+    /** Runs each schedule of faults on three processes: the faults occur and the rules hold. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "journal; kill 0 at 800 for 300, stop 1 at 1600 for 300; Died",
@@ -86,7 +86,7 @@
         assertThat(day.resolve("n1.log")).content().contains("SERVING");
     }
 
-    /** A check that never fails is no check: nodes that are wrong on purpose are caught, each by its rule. */
+    /** Tests the checks themselves: nodes that are faulty on purpose are detected, each by the rule that it breaks. */
     @ParameterizedTest
     @EnumSource(WrongNode.Wrong.class)
     void faultyNodesAreDetected(WrongNode.Wrong wrong) throws Exception {
@@ -101,13 +101,13 @@
         assertThat(folder.resolve("out")).doesNotExist();
     }
 
-    /** A fault that waits for what never comes is told, and the day ends all the same. */
+    /** A fault whose condition is never met is reported, and the run ends all the same. */
     @Test void aConditionThatIsNeverMetIsReported() throws Exception {
         assertThat(runLoad(experiment(1, 1, "", "kill 0 once delivered r3 100000 for 300"))).as(output()).isEqualTo(1);
         assertThat(output()).contains("NeverCame", "once delivered r3 100000");
     }
 
-    /** Two runs at once don't meet; a run that is killed outright leaves no process behind. */
+    /** Runs at the same time don't interfere with each other; a run that is killed leaves no process behind. */
     @Test void aKilledRunLeavesNoOrphanProcess() throws Exception {
         Path file = experiment(2, 9, "", "freeze 1 at 500 for 3000");
         Process run = new ProcessBuilder(ProcessHandle.current().info().command().orElseThrow(), "-cp",
@@ -120,7 +120,7 @@
                 nodes = run.toHandle().children().filter(one -> one.info().command().orElse("").endsWith("java")).collect(Collectors.toSet());
                 Thread.sleep(50);
             }
-            Thread.sleep(1500); // By then one of them stands still.
+            Thread.sleep(1500); // By then one of them is frozen.
             run.destroyForcibly().waitFor();
             for (ProcessHandle node : nodes) {
                 node.onExit().get(30, TimeUnit.SECONDS);
--- a/app/src/test/java/wrenreach/app/OutOfOrderTest.java
+++ b/app/src/test/java/wrenreach/app/OutOfOrderTest.java
@@ -8,22 +8,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The story: messages with an ordering key were accepted, attempted a few times, and each attempt ended without a 200. Then nothing
- * more was heard of them, and the next message of the key went out as if they had ended. After a restart one of them was found owed.
+ * Guards against mails of an order key that are lost or sent out of order: a mail had a few attempts that ended without a 200,
+ * and was ended by the decisions after the last one, but neither the journal nor the platform was told. The next mail of the key was
+ * sent as if it had ended. After a restart such a mail was still outstanding.
  *
- * <p>The order of events: the last attempt of the earlier message ends; the decisions end the message and let its key go on; the host
- * never carries that decision out, so neither the journal nor the platform hears of it; the later message is sent.
- *
- * <p>The cause: a connection whose socket can't be made reports its failure on a thread of the networking library's own, not on the
- * event loop. Decisions and the list of answers to be carried out were then used by two threads at once, and an answer that was
- * added while the list was being carried out was cleared with it. Proof: the same fleet, traffic and resets without failing
- * sockets keeps all rules; with them, messages go out of turn or are lost, or the process ends with a
- * ConcurrentModificationException.
+ * <p>Cause: a connection whose socket can't be created reported its failure on a thread of the networking library, not on the event
+ * loop. Decisions and the list of pending actions were then used by two threads at once, and an action that was added while the list
+ * was processed was cleared with it. The same fleet, traffic and resets without failing sockets satisfy all rules; with failing
+ * sockets, mails were sent out of order or lost, or the process ended with a ConcurrentModificationException.
  */
 class OutOfOrderTest {
     @TempDir Path folder;
 
-    /** Some of the machine's sockets can't be made for eight seconds, while receivers break many connections. */
+    /** Some sockets can't be created for eight seconds, while receivers break many connections. */
     @Test void messagesOfAKeyStayInOrderWhileSocketsCantBeMade() throws Exception {
         LabRun run = LabRun.play(folder, Files.writeString(folder.resolve("sockets.toml"), """
                 [experiment]
--- a/app/src/test/java/wrenreach/app/ReadyTest.java
+++ b/app/src/test/java/wrenreach/app/ReadyTest.java
@@ -21,15 +21,16 @@
 import wrenreach.held.Journal;
 import wrenreach.held.Submission;
 
-/** What a restart spends until it is ready, in processor time: how long that takes follows from the share of a core. */
+/** The processor time that a restart takes until the node is ready; the time on the clock follows from the share of a core that it has. */
 class ReadyTest {
-    /** Ready within 10 s at a third of a core; without the class-data archive, which saves more than a tenth of a second. */
+    /** Ready within 10 s at a third of a core. The test runs without the class-data archive, which saves more than a tenth of a second. */
     private static final Duration MAX_CPU_TIME = Duration.ofMillis(10_000 / 3);
+    /** The disk limit of the node. */
     private static final long DISK_LIMIT_BYTES = 8_000_000;
     private static final int ENDPOINT_COUNT = 300;
     @TempDir Path folder;
 
-    /** The most that the disk limit holds, with a list kept and discovery down. */
+    /** As many mails as the disk limit allows, with a stored endpoint list and with discovery down. */
     @Test void aRestartWithAFullStateFolderIsReadyInTime() throws Exception {
         Path state = Files.createDirectories(folder.resolve("state"));
         int mails = 0;
@@ -48,19 +49,19 @@
             journal.listLog().close();
             journal.write();
         }
-        int door;
+        int listenerPort;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            door = free.getLocalPort();
+            listenerPort = free.getLocalPort();
         }
         Path config = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("deploy/sample.json"))
-                .replace("127.0.0.1:0", "127.0.0.1:" + door).replace("\"disk_mb\": 2", "\"disk_mb\": " + DISK_LIMIT_BYTES / 1_000_000)
+                .replace("127.0.0.1:0", "127.0.0.1:" + listenerPort).replace("\"disk_mb\": 2", "\"disk_mb\": " + DISK_LIMIT_BYTES / 1_000_000)
                 .replace("\"MaxOpen\": 100", "\"MaxOpen\": " + 2 * mails));
         Path log = folder.resolve("log");
         Process node = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "@deploy/serve.options",
                 "-cp", System.getProperty("java.class.path"), "wrenreach.app.Launch", "serve", "--config", config.toString(),
                 "--state", state.toString()).redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
-            for (int i = 0; !answersPing(door); i++) {
+            for (int i = 0; !answersPing(listenerPort); i++) {
                 assertThat(node.isAlive() && i < 6000).as(Files.readString(log)).isTrue();
                 Thread.sleep(10);
             }
@@ -73,8 +74,8 @@
         }
     }
 
-    private static boolean answersPing(int door) {
-        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+    private static boolean answersPing(int listenerPort) {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(60_000);
             client.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
             return client.getInputStream().read() == '+';
--- a/app/src/test/java/wrenreach/app/RehearsalTest.java
+++ b/app/src/test/java/wrenreach/app/RehearsalTest.java
@@ -13,7 +13,7 @@
 class RehearsalTest {
     @TempDir Path state;
 
-    /** Guards the class-data archive: mails are taken, relayed and ended by notices, or it knows too little. */
+    /** Mails are accepted, relayed and ended with notices; otherwise the class-data archive would lack classes of these paths. */
     @Test void mailsPassThroughTheNode() throws Exception {
         Config config = Config.parse(Files.readAllBytes(Path.of("deploy/sample.json")), Map.of());
         assertThat(Rehearsal.run(config, state)).isZero();
--- a/app/src/test/java/wrenreach/app/RestartTest.java
+++ b/app/src/test/java/wrenreach/app/RestartTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Whole processes that end with mails taken on and not yet tried: the next process calls their receiver. Counted by the receiver
- * and the platform, which the test plays itself.
+ * Processes that end with mails accepted and not yet attempted: the next process calls their receiver. The test itself acts as the
+ * receiver and the platform, and counts there.
  */
 class RestartTest {
     private static final int MAIL_COUNT = 80;
@@ -38,9 +38,9 @@
     private final Set<String> noticed = ConcurrentHashMap.newKeySet();
     private HttpServer outsideServer;
     private int listenerPort;
-    /** What a receiver tells its callers to wait, in milliseconds; 0: it works. */
+    /** The retry-after of the receiver in milliseconds; 0 where it works. */
     private volatile long retryAfterMs;
-    /** Whether discovery takes watches and says nothing. */
+    /** Whether discovery accepts watches and sends nothing. */
     private volatile boolean discoverySilent;
     private Process node;
 
@@ -82,15 +82,15 @@
         threads.shutdownNow();
     }
 
-    /** Starts a process whose settings have this weight of the receiver, and waits until it serves. */
+    /** Starts a process with this weight of the receiver in its settings and waits until it serves. */
     private void start(int weight) throws Exception {
         node = ServeProcess.start(folder, ServeProcess.config(listenerPort, outsideServer.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": " + weight),
                 listenerPort);
     }
 
-    /** Hands in mails, one connection; those that were taken on. */
+    /** Submits the mails on one connection and returns the ids of those that were accepted. */
     private Set<String> submitMails(long lifetimeMs) throws IOException {
-        Set<String> taken = new LinkedHashSet<>();
+        Set<String> accepted = new LinkedHashSet<>();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
             for (int i = 0; i < MAIL_COUNT; i++) {
@@ -99,16 +99,16 @@
                     request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
                 }
                 client.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
-                StringBuilder answer = new StringBuilder();
-                while (!answer.toString().endsWith("\n")) {
-                    answer.append((char) client.getInputStream().read());
+                StringBuilder reply = new StringBuilder();
+                while (!reply.toString().endsWith("\n")) {
+                    reply.append((char) client.getInputStream().read());
                 }
-                if (answer.toString().startsWith("+OK")) {
-                    taken.add("m" + i);
+                if (reply.toString().startsWith("+OK")) {
+                    accepted.add("m" + i);
                 }
             }
         }
-        return taken;
+        return accepted;
     }
 
     private void end(String how) throws InterruptedException {
@@ -120,7 +120,7 @@
         assertThat(node.waitFor(20, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** The counts are of mails that no call was made for before the first end; all but the first, which learnt the wait. */
+    /** Counts mails that were not called before the first process ended: all but the first, whose response carried the retry-after. */
     @ParameterizedTest
     @CsvSource({"KILL, 1, 20000, 12000, 200, false", "TERM, 1, 20000, 12000, 200, false", "KILL, 1, 20000, 12000, 200, true",
         "KILL, 1, 20000, 12000, 12, false", "KILL, 3, 20000, 12000, 200, false", "KILL, 1, 8000, 2000, 200, false",
@@ -129,8 +129,8 @@
             throws Exception {
         retryAfterMs = waitMs;
         start(200);
-        Set<String> taken = submitMails(lifetimeMs);
-        assertThat(taken.size()).isGreaterThan(MAIL_COUNT / 2);
+        Set<String> accepted = submitMails(lifetimeMs);
+        assertThat(accepted.size()).isGreaterThan(MAIL_COUNT / 2);
         for (int i = 0; i < ends; i++) {
             end(how);
             if (i == ends - 1) {
@@ -139,18 +139,18 @@
             }
             start(weight);
         }
-        Set<String> over = new HashSet<>();
-        for (int i = 0; i < 3000 && !over.containsAll(taken); i++) {
+        Set<String> ended = new HashSet<>();
+        for (int i = 0; i < 3000 && !ended.containsAll(accepted); i++) {
             Thread.sleep(10);
-            over.addAll(called);
-            over.addAll(noticed);
+            ended.addAll(called);
+            ended.addAll(noticed);
         }
-        assertThat(over).containsAll(taken);
-        Set<String> untried = new HashSet<>(taken);
+        assertThat(ended).containsAll(accepted);
+        Set<String> untried = new HashSet<>(accepted);
         untried.removeAll(called);
-        System.out.println(how + " " + ends + " " + lifetimeMs + " ms, weight " + weight + ": " + taken.size() + " taken, "
+        System.out.println(how + " " + ends + " " + lifetimeMs + " ms, weight " + weight + ": " + accepted.size() + " taken, "
                 + untried.size() + " given up with no call");
-        assertThat(2 * untried.size()).as("given up with no call of %d", taken.size()).isLessThan(taken.size());
+        assertThat(2 * untried.size()).as("given up with no call of %d", accepted.size()).isLessThan(accepted.size());
         if (lifetimeMs > 10_000 && weight > 100) {
             assertThat(untried).isEmpty();
         }
--- a/app/src/test/java/wrenreach/app/ServeProcess.java
+++ b/app/src/test/java/wrenreach/app/ServeProcess.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A whole node as a process of its own, from the classes under test, and what it meets outside. */
+/** Starts a node as a process from the classes under test, and helps with its clients and its discovery. */
 final class ServeProcess {
     private ServeProcess() { }
 
@@ -19,21 +19,21 @@
         }
     }
 
-    /** The sample config with its door, and discovery, platform and receiver at one port. */
-    static String config(int door, int outside) throws IOException {
-        return Files.readString(Path.of("deploy/sample.json")).replace("127.0.0.1:9", "127.0.0.1:" + outside)
-                .replace("127.0.0.1:0", "127.0.0.1:" + door);
+    /** Returns the sample config with the given listener port, and with discovery, platform and receiver at one other port. */
+    static String config(int listenerPort, int outsidePort) throws IOException {
+        return Files.readString(Path.of("deploy/sample.json")).replace("127.0.0.1:9", "127.0.0.1:" + outsidePort)
+                .replace("127.0.0.1:0", "127.0.0.1:" + listenerPort);
     }
 
-    /** Starts it on the folder's state and waits until it serves; its log goes on in the folder. */
-    static Process start(Path folder, String json, int door) throws Exception {
+    /** Starts a node on the folder's state and waits until it serves; its log is appended to a file in the folder. */
+    static Process start(Path folder, String json, int listenerPort) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), json);
         Process node = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
                 "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "wrenreach.app.Launch", "serve", "--config",
                 config.toString(), "--state", folder.resolve("state").toString())
                 .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile())).start();
         for (int i = 0; i < 2000; i++) {
-            if (firstReplyByte(door, "PING\r\n") == '+') {
+            if (firstReplyByte(listenerPort, "PING\r\n") == '+') {
                 return node;
             }
             Thread.sleep(10);
@@ -42,9 +42,9 @@
         throw new AssertionError("does not serve: " + Files.readString(folder.resolve("log")));
     }
 
-    /** The first byte of the answer; -1: it does not listen, or closed the connection. */
-    static int firstReplyByte(int door, String request) {
-        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+    /** Returns the first byte of the reply, or -1 where the node does not listen or closed the connection. */
+    static int firstReplyByte(int listenerPort, String request) {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return client.getInputStream().read();
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Takes a watch of the list of endpoints, which stays open, and tells no change. */
+    /** Accepts a watch of the endpoint list, which stays open, and reports no change. */
     static void acceptWatch(HttpExchange exchange) throws IOException {
         exchange.sendResponseHeaders(200, 0);
         exchange.getResponseBody().write("{\"index\":0,\"snapshot\":false,\"endpoints\":[]}\n".getBytes(StandardCharsets.US_ASCII));
--- a/app/src/test/java/wrenreach/app/ServeTest.java
+++ b/app/src/test/java/wrenreach/app/ServeTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whole processes: what a node loads, how it follows its files, how it refuses to start. */
+/** Node processes: which classes they load, how they reload their files, and when they refuse to start. */
 class ServeTest {
     private static final Path SAMPLE = Path.of("deploy/sample.json");
     @TempDir Path folder;
@@ -27,7 +27,7 @@
         return Files.writeString(folder.resolve("operator.toml"), text);
     }
 
-    /** A node as a process of its own on the sample config; its log goes to the file. */
+    /** Starts a node process; its log goes to the given file. */
     private Process startNode(Path log, boolean hangUpIgnored, List<String> javaOptions, String... more) throws IOException {
         List<String> words = new ArrayList<>();
         if (hangUpIgnored) {
@@ -56,7 +56,7 @@
         assertThat(node.exitValue()).isZero();
     }
 
-    /** Guards start and memory: what is off is not loaded, nor are the libraries that only it needs. */
+    /** A subsystem that is off costs neither start time nor memory: its classes and the libraries that only it needs are not loaded. */
     @Test void disabledSubsystemsLoadNoClasses() throws Exception {
         Path log = folder.resolve("log");
         List<String> options = List.of("-Xlog:class+load:file=" + folder.resolve("classes"));
@@ -77,14 +77,14 @@
                 .doesNotContain("wrenreach.lists.WatchedLists");
     }
 
-    /** Guards nodes under nohup and such: their files are watched, and the log says which way it is. */
+    /** Where SIGHUP is ignored, as under nohup, a node watches its files instead, and the log tells which of the two it does. */
     @ParameterizedTest
     @CsvSource({"true, whenever it changes", "false, on SIGHUP"})
     void aNodeReloadsItsFilesWithAndWithoutSigHup(boolean ignored, String way) throws Exception {
         Path log = folder.resolve("log");
         Path config = Files.copy(SAMPLE, folder.resolve("config.json"));
-        Path own = operator("[log]\n");
-        Process node = startNode(log, ignored, List.of(), "--config", config.toString(), "--operator", own.toString());
+        Path operatorFile = operator("[log]\n");
+        Process node = startNode(log, ignored, List.of(), "--config", config.toString(), "--operator", operatorFile.toString());
         try {
             awaitLog(log, "SERVING");
             awaitLog(log, "config is read again " + way);
@@ -115,26 +115,26 @@
 
     @Test void aSubsystemThatCantStartOrAnInvalidFileEndsTheStartWithCodeTwo() throws Exception {
         File file = Files.createFile(folder.resolve("file")).toFile();
-        Path own = operator("[lists]\nmanifest = \"m\"\nkept = \"" + file + "/kept\"\n");
-        assertThat(serve(own)).startsWith("2 wrenreach: " + own + ": lists: the folder kept = ").doesNotContain("\n");
-        assertThat(serve(operator("[lists]\nmanifst = \"m\"\n"))).isEqualTo("2 wrenreach: " + own
-                + ":1: lists.manifest: is missing: the manifest that names the parts of the list\nwrenreach: " + own
+        Path operatorFile = operator("[lists]\nmanifest = \"m\"\nkept = \"" + file + "/kept\"\n");
+        assertThat(serve(operatorFile)).startsWith("2 wrenreach: " + operatorFile + ": lists: the folder kept = ").doesNotContain("\n");
+        assertThat(serve(operator("[lists]\nmanifst = \"m\"\n"))).isEqualTo("2 wrenreach: " + operatorFile
+                + ":1: lists.manifest: is missing: the manifest that names the parts of the list\nwrenreach: " + operatorFile
                 + ":1: lists.kept: is missing: a folder that lasts, for the list in force and what is said of it\nwrenreach: "
-                + own + ":2: lists.manifst: is not known; did you mean manifest?");
+                + operatorFile + ":2: lists.manifst: is not known; did you mean manifest?");
         assertThat(serve(folder.resolve("absent"))).isEqualTo("2 wrenreach: " + folder.resolve("absent") + ": no such file");
     }
 
-    private String serve(Path own) {
+    private String serve(Path operatorFile) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code = new Serve(SAMPLE, own, Map.of(), new PrintStream(err, true, StandardCharsets.UTF_8))
+        int code = new Serve(SAMPLE, operatorFile, Map.of(), new PrintStream(err, true, StandardCharsets.UTF_8))
                 .run(folder.resolve("state"), true);
         return code + " " + err.toString(StandardCharsets.UTF_8).strip();
     }
 
-    /** Guards the sample against going stale: each example file under deploy/ is sound. */
+    /** The sample of an operator's file under deploy/ stays valid. */
     @Test void theSampleOperatorFileIsValid() throws Exception {
         assertThat(new OperatorCommand().run(List.of("check", "deploy/operator.toml"), System.out, System.err)).isZero();
         assertThat(wrenreach.operator.OperatorFile.read(Path.of("deploy/operator.toml"), Parts.sections()).effectiveValues())
-                .extracting(shown -> shown.key()).contains("log.format");
+                .extracting(value -> value.key()).contains("log.format");
     }
 }
--- a/app/src/test/java/wrenreach/app/SoakTest.java
+++ b/app/src/test/java/wrenreach/app/SoakTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenreach.lab.LabCommand;
 
-/** The soak's days on fleets of processes, a few of them; more are played by hand. */
+/** A few random days of the soak test on fleets of processes; longer series are run by hand. */
 class SoakTest {
     @TempDir Path folder;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -31,7 +31,7 @@
         assertThat(output()).contains("6 days played, 0 failed");
     }
 
-    /** A day that breaks a rule fails, names it, and can be played again: here the platform can't be reached by anyone. */
+    /** A day that breaks a rule fails, names the rule and can be replayed: here nobody can reach the platform. */
     @Test void aDayThatBreaksARuleFails() throws Exception {
         Path day = Files.writeString(folder.resolve("bad.day"), """
                 seed 5
--- a/app/src/test/java/wrenreach/app/SystemCallFaultsTest.java
+++ b/app/src/test/java/wrenreach/app/SystemCallFaultsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Processes whose machine fails their system calls, in the ways that Linux documents. */
+/** Processes whose system calls fail in the ways that Linux documents. */
 @Execution(ExecutionMode.CONCURRENT)
 class SystemCallFaultsTest {
     @TempDir Path folder;
@@ -45,7 +45,7 @@
         return Integer.parseInt(log.substring(at).replaceFirst("\\D.*", "").lines().findFirst().orElseThrow());
     }
 
-    /** All rules hold, and the faults did strike. */
+    /** All rules hold, and the faults did occur. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "CONNECT; connect_fails 0 0.2 at 500 for 5000, reset nodes-receivers 0.5 at 700 for 1 every 60",
@@ -66,26 +66,26 @@
         assertThat(numberAfter(run.log("1-1/n0.log"), "made to fail so far: " + call + " ")).as("faults that struck").isPositive();
     }
 
-    /** Spans are real time: a stepped wall clock ends nothing early and leaves nothing owed, also over a restart. */
+    /** Timeouts follow real time: a step of the wall clock ends no mail early and leaves none outstanding, also across a restart. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "wall_ahead 0 3600 at 2100 for 30000", "wall_behind 0 3600 at 2100 for 30000", "wall_ahead 0 3600 at 1500 for 700",
         "wall_behind 0 3600 at 1000 for 1100", "wall_ahead 0 5 at 2100 for 30000"})
     void aSteppedWallClockChangesNoTimeout(String step) throws Exception {
-        // Time enough for what is found: with less, a third of it ends for want of time also where no clock is stepped.
+        // A lifetime that is long enough for the recovered mails: with less, a third of them reach their deadline even without a clock step.
         LabRun run = play(40, 6000, "down all at 600 for 1300", "kill 0 at 1900 for 500", step);
         assertThat(run.code()).as(run.output()).isZero();
         assertThat(run.log("1-1/n0.log")).containsPattern("recovered [1-9][0-9]+ mails");
     }
 
-    /** A message that was refused because its record failed is not found by the next process, and is not sent. */
+    /** A mail that was refused because its record could not be written is not recovered by the next process and is not sent. */
     @Test void aRefusedMailIsNotSentAfterARestart() throws Exception {
         LabRun run = play(80, 8000, "folder_fails 0 1 5 at 600 for 150 every 1150", "kill 0 at 5700 for 300");
         assertThat(run.code()).as(run.output()).isZero();
         assertThat(run.log("1-1/n0.log")).contains("the state folder takes no records", "the state folder takes records again");
     }
 
-    /** The next accept follows at once: one in five that fails costs clients a second try, not a second of silence. */
+    /** After a failed accept the next one follows at once: with one in five failing, clients need a second try, but wait no second. */
     @Test void clientsAreAcceptedAgainAtOnce() throws Exception {
         LabRun run = play(60, "accept_fails 0 0.2 at 300 for 5700");
         assertThat(run.code()).as(run.output()).isZero();
@@ -95,7 +95,7 @@
         assertThat(unanswered).as("unanswered, of " + accepted + " accepted").isLessThan(accepted / 2);
     }
 
-    /** What this machine fails in is held against no receiver. */
+    /** Faults of the local machine are not counted against receivers. */
     @Test void breakersOfHealthyReceiversStayClosed() throws Exception {
         LabRun run = play(40, 8000, "connect_fails 0 1 at 1500 for 3500", "reset nodes-receivers 1 at 1505 for 1 every 300");
         assertThat(run.code()).as(run.output()).isZero();
--- a/app/src/test/java/wrenreach/app/WindowTest.java
+++ b/app/src/test/java/wrenreach/app/WindowTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whole processes, killed with a call out, and a window for repeats that is over when the next process is there. */
+/** Processes that are killed with a call in flight, and a deduplication window that is over before the next process starts. */
 class WindowTest {
-    /** Right behind what the kill comes. */
+    /** What the kill follows immediately: the OK to the client, the last byte of the call, or the response to the call. */
     enum KillPoint { TAKEN, LAST_BYTE, ANSWER }
 
     private static final Pattern NOTICE = Pattern.compile("\"id\":\"(\\w+)\",\"status\":\"(\\w+)\"");
@@ -50,7 +50,7 @@
             exchange.getRequestBody().readAllBytes();
             String id = exchange.getRequestHeaders().getFirst("X-Call-Id");
             if (id.equals("m3")) {
-                return; // Never answered: it ends at its own time.
+                return; // Never answered: it ends at its deadline.
             }
             if (killPoint == KillPoint.LAST_BYTE && id.equals("m1")) {
                 recordCallAndKill(id);
@@ -75,7 +75,7 @@
         outsideServer.start();
     }
 
-    /** Kills the process with the first call of the mail out; a later one is only counted. */
+    /** Records a call and kills the process at the first one; later calls are only recorded. */
     private void recordCallAndKill(String id) {
         calls.add(id);
         if (killed.getCount() > 0) {
@@ -102,17 +102,17 @@
                 listenerPort);
     }
 
-    /** The first byte of the answer; -1: it does not listen, or closed the connection. */
+    /** Returns the first byte of the reply, or -1 where the node does not listen or closed the connection. */
     private int firstReplyByte(String request) {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            int first = client.getInputStream().read();
-            if (first == '+' && killPoint == KillPoint.TAKEN && request.contains("m1")) {
+            int firstByte = client.getInputStream().read();
+            if (firstByte == '+' && killPoint == KillPoint.TAKEN && request.contains("m1")) {
                 node.destroyForcibly().waitFor();
                 killed.countDown();
             }
-            return first;
+            return firstByte;
         } catch (IOException e) {
             return -1;
         } catch (InterruptedException e) {
@@ -126,7 +126,7 @@
         return firstReplyByte("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\n" + id + "\r\n$" + terms.length() + "\r\n" + terms + "\r\n$5\r\nhello\r\n");
     }
 
-    /** The notices up to that of m3, without it. Notices go out in the order of the endings. */
+    /** Returns the notices before that of m3. Notices are sent in the order in which mails end. */
     private List<String> noticesBeforeM3() throws InterruptedException {
         List<String> before = new ArrayList<>();
         for (String notice = notices.poll(20, TimeUnit.SECONDS); notice != null; notice = notices.poll(20, TimeUnit.SECONDS)) {
@@ -141,36 +141,36 @@
     @ParameterizedTest
     @CsvSource({"TAKEN, token", "LAST_BYTE, token", "ANSWER, token", "TAKEN, side_effect", "LAST_BYTE, side_effect",
         "ANSWER, side_effect"})
-    void mailInFlightAtTheKillIsNotSentAgainAndIsReportedCorrectly(KillPoint what, String effect) throws Exception {
-        killPoint = what;
+    void mailInFlightAtTheKillIsNotSentAgainAndIsReportedCorrectly(KillPoint point, String effect) throws Exception {
+        killPoint = point;
         start(effect);
         submit("m1", 15_000);
         assertThat(killed.await(20, TimeUnit.SECONDS)).isTrue();
-        Thread.sleep(2 * DEDUPLICATION_WINDOW_MS); // The window is over; a later start only is later still.
+        Thread.sleep(2 * DEDUPLICATION_WINDOW_MS); // The window is over; a slower start only makes that more certain.
         start(effect);
         assertThat(submit("m2", 15_000)).isEqualTo('+');
-        // Comes after the restart and ends a second later: what ends before it ends in time, many seconds before its own end.
+        // Submitted after the restart, it ends a second later: what ends before it ends in time, many seconds before its deadline.
         assertThat(submit("m3", 1000)).isEqualTo('+');
-        String id = calls.poll(20, TimeUnit.SECONDS);
-        int first = 0;
-        for (; id != null && !id.equals("m2"); id = calls.poll(20, TimeUnit.SECONDS)) {
-            first++;
+        String callId = calls.poll(20, TimeUnit.SECONDS);
+        int callsOfM1 = 0;
+        for (; callId != null && !callId.equals("m2"); callId = calls.poll(20, TimeUnit.SECONDS)) {
+            callsOfM1++;
         }
-        assertThat(id).as("the next mail is called: the node serves").isEqualTo("m2");
+        assertThat(callId).as("the next mail is called: the node serves").isEqualTo("m2");
         List<String> before = noticesBeforeM3();
-        if (what == KillPoint.TAKEN && first == 0 && before.isEmpty()) {
-            first += "m1".equals(calls.poll(20, TimeUnit.SECONDS)) ? 1 : 0;
+        if (point == KillPoint.TAKEN && callsOfM1 == 0 && before.isEmpty()) {
+            callsOfM1 += "m1".equals(calls.poll(20, TimeUnit.SECONDS)) ? 1 : 0;
         }
         String more = calls.poll(500, TimeUnit.MILLISECONDS);
-        System.out.println(what + " " + effect + ": " + first + " calls of the mail, notices in time " + before);
+        System.out.println(point + " " + effect + ": " + callsOfM1 + " calls of the mail, notices in time " + before);
         assertThat(more).as("a call more").isNull();
-        if (what == KillPoint.TAKEN) {
-            // It was called once, by one process or the other, or its end is told.
-            assertThat(first == 1 || !before.isEmpty()).isTrue();
+        if (point == KillPoint.TAKEN) {
+            // It was called once, by either process, or a notice reports its end.
+            assertThat(callsOfM1 == 1 || !before.isEmpty()).isTrue();
         } else {
-            assertThat(first).isEqualTo(1);
+            assertThat(callsOfM1).isEqualTo(1);
         }
-        if (what == KillPoint.LAST_BYTE || !before.isEmpty()) {
+        if (point == KillPoint.LAST_BYTE || !before.isEmpty()) {
             assertThat(before).as("told once and in time; it may have run: not harmless to hand in again").containsExactly("m1 undeliverable");
         }
         assertThat(notices.poll(500, TimeUnit.MILLISECONDS)).as("a notice more, or late").isNull();
--- a/app/src/test/java/wrenreach/app/WrongNode.java
+++ b/app/src/test/java/wrenreach/app/WrongNode.java
@@ -21,9 +21,9 @@
 import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Mail;
 
-/** A node as a process that is wrong on purpose; started as serve is, with the kind of wrong in a system property. */
+/** A node process that is faulty on purpose, to test the checks of the lab; the first argument names the fault, the others are those of serve. */
 public final class WrongNode {
-    /** What is wrong, the rule that has to notice it, and faults that bring it out. */
+    /** What is wrong, with the rule that has to detect it and a schedule of faults that provokes it. */
     enum Wrong {
         FORGETS_ENDINGS("LOST", "silent 0 at 500 for 4000, silent 1 at 500 for 4000, silent 2 at 500 for 4000, silent 3 at 500 for 4000"),
         FORGETS_ITS_JOURNAL("LOST", "full 0 at 300 for 3000, full 1 at 300 for 3000, full 2 at 300 for 3000, full 3 at 300 for 3000, "
@@ -46,7 +46,7 @@
 
     private WrongNode() { }
 
-    /** wrong, serve, --config, FILE, --state, FOLDER. */
+    /** Arguments: name of the fault, serve, --config, FILE, --state, FOLDER. */
     public static void main(String[] words) throws Exception {
         Wrong wrong = Wrong.valueOf(words[0]);
         Path state = Path.of(words[5]);
@@ -60,7 +60,7 @@
         System.exit(node.stopped().get(1, TimeUnit.HOURS));
     }
 
-    /** The journal; or one that says it has written what it writes a second later. */
+    /** Returns the journal, or a proxy that reports records as written up to a second before it writes them. */
     private static Ledger ledger(Wrong wrong, Journal journal) {
         if (wrong != Wrong.ANSWERS_BEFORE_IT_WRITES) {
             return journal;
@@ -76,46 +76,46 @@
     }
 
     private static Dispatcher faultyDispatcher(Wrong wrong, Settings settings) {
-        DeliveryDispatcher sound = new DeliveryDispatcher(settings);
+        DeliveryDispatcher delegate = new DeliveryDispatcher(settings);
         return new Dispatcher() {
             private int count;
 
-            private List<Action> twist(List<Action> answers) {
-                List<Action> twisted = new ArrayList<>(answers);
+            private List<Action> falsify(List<Action> actions) {
+                List<Action> falsified = new ArrayList<>(actions);
                 if (wrong == Wrong.FORGETS_ENDINGS) {
-                    twisted.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
+                    falsified.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
                 } else if (wrong == Wrong.CALLS_IT_HARMLESS) {
-                    twisted.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
+                    falsified.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
                 }
-                return twisted;
+                return falsified;
             }
 
             @Override public List<Action> admit(Mail mail, long now) {
-                return twist(sound.admit(mail, now));
+                return falsify(delegate.admit(mail, now));
             }
 
-            @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-                Outcome told = outcome;
+            @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] report, boolean done, long now) {
+                Outcome reported = outcome;
                 boolean mayHaveRun = outcome instanceof Outcome.ServerError || outcome instanceof Outcome.TimedOut;
                 if (wrong == Wrong.SENDS_ONCE_ONLY_AGAIN && mayHaveRun) {
-                    told = new Outcome.NotSent(false);
-                    connect.neverRan = true;
+                    reported = new Outcome.NotSent(false);
+                    attempt.neverRan = true;
                 } else if (wrong == Wrong.DEAF_TO_WAITS && outcome instanceof Outcome.Rejected) {
-                    told = new Outcome.Rejected(0);
+                    reported = new Outcome.Rejected(0);
                 }
-                return twist(sound.attemptEnded(connect, told, report, done, now));
+                return falsify(delegate.attemptEnded(attempt, reported, report, done, now));
             }
 
             @Override public List<Action> withdrawn(Mail mail, long now) {
-                return twist(sound.withdrawn(mail, now));
+                return falsify(delegate.withdrawn(mail, now));
             }
 
-            @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-                return wrong == Wrong.DEAF_TO_LISTS && count++ > 0 ? List.of() : twist(sound.endpointsUpdated(listing, now));
+            @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
+                return wrong == Wrong.DEAF_TO_LISTS && count++ > 0 ? List.of() : falsify(delegate.endpointsUpdated(update, now));
             }
 
             @Override public List<Action> nextActions(long now) {
-                return twist(sound.nextActions(now));
+                return falsify(delegate.nextActions(now));
             }
         };
     }
