--- a/app/src/test/java/wrenreach/app/RestartTest.java
+++ b/app/src/test/java/wrenreach/app/RestartTest.java
@@ -26,39 +26,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Whole processes that end with mails taken on and not yet tried: the next process calls their receiver. Counted by the receiver
- * and the platform, which the test plays itself.
+ * Processes that end with mails accepted and not yet attempted: the next process calls their receiver. The test itself acts as the
+ * receiver and the platform, and counts there.
  */
 class RestartTest {
-    private static final int MAILS = 80;
+    private static final int MAIL_COUNT = 80;
     private static final Pattern ID = Pattern.compile("\"id\":\"(m\\d+)\"");
     @TempDir Path folder;
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final Set<String> called = ConcurrentHashMap.newKeySet();
     private final Set<String> noticed = ConcurrentHashMap.newKeySet();
-    private HttpServer outside;
-    private int door;
-    /** What a receiver tells its callers to wait, in milliseconds; 0: it works. */
-    private volatile long shutFor;
-    /** Whether discovery takes watches and says nothing. */
-    private volatile boolean mute;
+    private HttpServer outsideServer;
+    private int listenerPort;
+    /** The retry-after of the receiver in milliseconds; 0 where it works. */
+    private volatile long retryAfterMs;
+    /** Whether discovery accepts watches and sends nothing. */
+    private volatile boolean discoverySilent;
     private Process node;
 
     @BeforeEach void listen() throws IOException {
-        door = ServeProcess.freePort();
-        outside = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
-        outside.setExecutor(threads);
-        outside.createContext("/events", exchange -> {
+        listenerPort = ServeProcess.freePort();
+        outsideServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
+        outsideServer.setExecutor(threads);
+        outsideServer.createContext("/events", exchange -> {
             exchange.getRequestBody().readAllBytes();
-            if (shutFor > 0) {
-                exchange.getResponseHeaders().set("Wait-Ms", Long.toString(shutFor));
+            if (retryAfterMs > 0) {
+                exchange.getResponseHeaders().set("Wait-Ms", Long.toString(retryAfterMs));
             } else {
                 called.add(exchange.getRequestHeaders().getFirst("X-Call-Id"));
             }
-            exchange.sendResponseHeaders(shutFor > 0 ? 429 : 200, -1);
+            exchange.sendResponseHeaders(retryAfterMs > 0 ? 429 : 200, -1);
             exchange.close();
         });
-        outside.createContext("/v2/finals", exchange -> {
+        outsideServer.createContext("/v2/finals", exchange -> {
             Matcher ids = ID.matcher(new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.US_ASCII));
             while (ids.find()) {
                 noticed.add(ids.group(1));
@@ -66,49 +66,49 @@
             exchange.sendResponseHeaders(204, -1);
             exchange.close();
         });
-        outside.createContext("/api/targets", exchange -> {
-            if (!mute) {
-                ServeProcess.watched(exchange);
+        outsideServer.createContext("/api/targets", exchange -> {
+            if (!discoverySilent) {
+                ServeProcess.acceptWatch(exchange);
             }
         });
-        outside.start();
+        outsideServer.start();
     }
 
     @AfterEach void close() throws InterruptedException {
         if (node != null) {
             node.destroyForcibly().waitFor();
         }
-        outside.stop(0);
+        outsideServer.stop(0);
         threads.shutdownNow();
     }
 
-    /** Starts a process whose settings have this weight of the receiver, and waits until it serves. */
+    /** Starts a process with this weight of the receiver in its settings and waits until it serves. */
     private void start(int weight) throws Exception {
-        node = ServeProcess.start(folder, ServeProcess.config(door, outside.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": " + weight),
-                door);
+        node = ServeProcess.start(folder, ServeProcess.config(listenerPort, outsideServer.getAddress().getPort()).replace("\"weight\": 10", "\"weight\": " + weight),
+                listenerPort);
     }
 
-    /** Hands in mails, one connection; those that were taken on. */
-    private Set<String> handIn(long lifetimeMs) throws IOException {
-        Set<String> taken = new LinkedHashSet<>();
-        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), door)) {
+    /** Submits the mails on one connection and returns the ids of those that were accepted. */
+    private Set<String> submitMails(long lifetimeMs) throws IOException {
+        Set<String> accepted = new LinkedHashSet<>();
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listenerPort)) {
             client.setSoTimeout(20_000);
-            for (int i = 0; i < MAILS; i++) {
+            for (int i = 0; i < MAIL_COUNT; i++) {
                 StringBuilder request = new StringBuilder("*5\r\n");
                 for (String word : List.of("ENQUEUE", "k" + i, "m" + i, "c=order,t=shop,d=" + lifetimeMs + ",k=t" + i + ",dest=1", "body")) {
                     request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
                 }
                 client.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
-                StringBuilder answer = new StringBuilder();
-                while (!answer.toString().endsWith("\n")) {
-                    answer.append((char) client.getInputStream().read());
+                StringBuilder reply = new StringBuilder();
+                while (!reply.toString().endsWith("\n")) {
+                    reply.append((char) client.getInputStream().read());
                 }
-                if (answer.toString().startsWith("+OK")) {
-                    taken.add("m" + i);
+                if (reply.toString().startsWith("+OK")) {
+                    accepted.add("m" + i);
                 }
             }
         }
-        return taken;
+        return accepted;
     }
 
     private void end(String how) throws InterruptedException {
@@ -120,37 +120,37 @@
         assertThat(node.waitFor(20, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** The counts are of mails that no call was made for before the first end; all but the first, which learnt the wait. */
+    /** Counts mails that were not called before the first process ended: all but the first, whose response carried the retry-after. */
     @ParameterizedTest
     @CsvSource({"KILL, 1, 20000, 12000, 200, false", "TERM, 1, 20000, 12000, 200, false", "KILL, 1, 20000, 12000, 200, true",
         "KILL, 1, 20000, 12000, 12, false", "KILL, 3, 20000, 12000, 200, false", "KILL, 1, 8000, 2000, 200, false",
         "KILL, 1, 8000, 2000, 3, false"})
-    void whatARestartFindsUntriedIsCalled(String how, int ends, long lifetimeMs, long waitMs, int weight, boolean discoveryDown)
+    void recoveredUntriedMailsAreCalled(String how, int ends, long lifetimeMs, long waitMs, int weight, boolean discoveryDown)
             throws Exception {
-        shutFor = waitMs;
+        retryAfterMs = waitMs;
         start(200);
-        Set<String> taken = handIn(lifetimeMs);
-        assertThat(taken.size()).isGreaterThan(MAILS / 2);
+        Set<String> accepted = submitMails(lifetimeMs);
+        assertThat(accepted.size()).isGreaterThan(MAIL_COUNT / 2);
         for (int i = 0; i < ends; i++) {
             end(how);
             if (i == ends - 1) {
-                shutFor = 0;
-                mute = discoveryDown;
+                retryAfterMs = 0;
+                discoverySilent = discoveryDown;
             }
             start(weight);
         }
-        Set<String> over = new HashSet<>();
-        for (int i = 0; i < 3000 && !over.containsAll(taken); i++) {
+        Set<String> ended = new HashSet<>();
+        for (int i = 0; i < 3000 && !ended.containsAll(accepted); i++) {
             Thread.sleep(10);
-            over.addAll(called);
-            over.addAll(noticed);
+            ended.addAll(called);
+            ended.addAll(noticed);
         }
-        assertThat(over).containsAll(taken);
-        Set<String> untried = new HashSet<>(taken);
+        assertThat(ended).containsAll(accepted);
+        Set<String> untried = new HashSet<>(accepted);
         untried.removeAll(called);
-        System.out.println(how + " " + ends + " " + lifetimeMs + " ms, weight " + weight + ": " + taken.size() + " taken, "
+        System.out.println(how + " " + ends + " " + lifetimeMs + " ms, weight " + weight + ": " + accepted.size() + " taken, "
                 + untried.size() + " given up with no call");
-        assertThat(2 * untried.size()).as("given up with no call of %d", taken.size()).isLessThan(taken.size());
+        assertThat(2 * untried.size()).as("given up with no call of %d", accepted.size()).isLessThan(accepted.size());
         if (lifetimeMs > 10_000 && weight > 100) {
             assertThat(untried).isEmpty();
         }
--- a/operator/src/main/java/wrenreach/operator/Section.java
+++ b/operator/src/main/java/wrenreach/operator/Section.java
@@ -13,17 +13,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A table of the operator's file and the record that it is read into. A component is boolean, int, long, double, String,
- * Path or a list of String or Integer, and has a {@link Key}. The record's constructor may check what spans several keys and throw
- * IllegalArgumentException.
+ * A table of the operator's file and the record that it is read into. Each component of the record is a boolean, int, long, double,
+ * String, Path or a list of String or Integer, and has a {@link Key}. The constructor of the record may check rules that span several
+ * keys and throw IllegalArgumentException.
  */
 public record Section<S extends Record>(String name, Class<S> type) {
-    private static final Pattern CAPITAL = Pattern.compile("(?=[A-Z])");
+    private static final Pattern BEFORE_CAPITAL = Pattern.compile("(?=[A-Z])");
 
     /** One key of a section. */
-    record Entry(String name, Key key, Class<?> type, boolean numbers) {
-        /** The value that a text stands for. */
-        Object read(String text) {
+    record Entry(String name, Key key, Class<?> type, boolean integerList) {
+        /** Parses the text of a default or a limit. */
+        Object parse(String text) {
             if (type == boolean.class) {
                 return Boolean.valueOf(text);
             } else if (type == double.class) {
@@ -36,18 +36,18 @@
                 return Path.of(text);
             } else if (type == List.class) {
                 List<String> parts = text.isEmpty() ? List.of() : List.of(text.split(","));
-                return numbers ? parts.stream().map(Integer::valueOf).toList() : parts;
+                return integerList ? parts.stream().map(Integer::valueOf).toList() : parts;
             }
             return text;
         }
 
-        /** The value as it would stand in the file. */
-        String write(Object value) {
+        /** Formats a value as it is written in the file. */
+        String format(Object value) {
             if (value instanceof Number number && type != double.class) {
                 return key.unit() == Unit.PLAIN ? value.toString() : '"' + key.unit().format(number.longValue()) + '"';
             } else if (value instanceof List<?> list) {
                 return "[" + String.join(", ", list.stream()
-                        .map(one -> numbers ? one.toString() : "\"" + one + "\"").toList()) + "]";
+                        .map(one -> integerList ? one.toString() : "\"" + one + "\"").toList()) + "]";
             }
             return value instanceof String || value instanceof Path ? "\"" + value + "\"" : String.valueOf(value);
         }
@@ -58,23 +58,23 @@
     }
 
     private static Entry entry(RecordComponent component) {
-        String name = String.join("_", CAPITAL.split(component.getName())).toLowerCase(Locale.ROOT);
+        String name = String.join("_", BEFORE_CAPITAL.split(component.getName())).toLowerCase(Locale.ROOT);
         return new Entry(name, component.getAnnotation(Key.class), component.getType(),
                 component.getGenericType().getTypeName().endsWith("<java.lang.Integer>"));
     }
 
-    /** The record of a table; what is wrong goes to faults (key and text), and the result is then null. */
-    S read(JsonNode table, Consumer<FileProblem> faults) {
+    /** Reads a table into its record. Problems are passed to the consumer with key and text but no line, and the result is then null. */
+    S read(JsonNode table, Consumer<FileProblem> problems) {
         List<Object> values = new ArrayList<>();
-        boolean[] wrong = {false};
-        Consumer<FileProblem> told = fault -> {
-            wrong[0] = true;
-            faults.accept(fault);
+        boolean[] failed = {false};
+        Consumer<FileProblem> collector = problem -> {
+            failed[0] = true;
+            problems.accept(problem);
         };
         for (Entry entry : entries()) {
-            values.add(value(entry, table.get(entry.name), told));
+            values.add(value(entry, table.get(entry.name), collector));
         }
-        if (wrong[0]) {
+        if (failed[0]) {
             return null;
         }
         try {
@@ -84,27 +84,27 @@
             constructor.setAccessible(true);
             return constructor.newInstance(values.toArray());
         } catch (InvocationTargetException e) {
-            faults.accept(new FileProblem(0, "", e.getCause().getMessage()));
+            problems.accept(new FileProblem(0, "", e.getCause().getMessage()));
             return null;
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("section " + name + " has no usable record", e);
         }
     }
 
-    private static Object value(Entry entry, JsonNode given, Consumer<FileProblem> faults) {
+    private static Object value(Entry entry, JsonNode given, Consumer<FileProblem> problems) {
         Key key = entry.key;
         try {
             if (given == null) {
-                if (key.byDefault().equals(Key.NEEDED)) {
+                if (key.byDefault().equals(Key.REQUIRED)) {
                     throw new IllegalArgumentException("is missing: " + key.about());
                 }
-                return entry.read(key.byDefault());
+                return entry.parse(key.byDefault());
             }
             Object value = convert(entry, given);
             check(entry, value);
             return value;
         } catch (IllegalArgumentException e) {
-            faults.accept(new FileProblem(0, entry.name, e.getMessage()));
+            problems.accept(new FileProblem(0, entry.name, e.getMessage()));
             return null;
         }
     }
@@ -122,12 +122,12 @@
                 && given.canConvertToLong()) {
             return given.longValue();
         } else if ((type == long.class || type == int.class) && entry.key.unit() != Unit.PLAIN && given.isTextual()) {
-            return entry.read(given.textValue());
+            return entry.parse(given.textValue());
         } else if (type == String.class && given.isTextual()) {
             return given.textValue();
         } else if (type == Path.class && given.isTextual() && !given.textValue().isEmpty()) {
             return Path.of(given.textValue());
-        } else if (type == List.class && given.isArray() && entry.numbers) {
+        } else if (type == List.class && given.isArray() && entry.integerList) {
             List<Integer> all = new ArrayList<>();
             for (JsonNode one : given) {
                 if (!one.isIntegralNumber() || !one.canConvertToInt()) {
@@ -146,44 +146,46 @@
             }
             return List.copyOf(texts);
         }
-        String form = type == boolean.class ? "true or false" : type == String.class ? "a text in quotes"
-                : type == Path.class ? "the path of a file in quotes" : type == List.class ? entry.numbers ? "a list of whole numbers" : "a list of texts"
+        String expectedForm = type == boolean.class ? "true or false" : type == String.class ? "a text in quotes"
+                : type == Path.class ? "the path of a file in quotes" : type == List.class ? entry.integerList ? "a list of whole numbers" : "a list of texts"
                 : type == double.class ? "a number" : entry.key.unit() == Unit.PLAIN ? "a whole number"
-                : entry.key.unit().form();
-        throw new IllegalArgumentException("is " + form + ", not " + given);
+                : entry.key.unit().expectedForm();
+        throw new IllegalArgumentException("is " + expectedForm + ", not " + given);
     }
 
     private static void check(Entry entry, Object value) {
         Key key = entry.key;
         if (key.oneOf().length > 0 && !List.of(key.oneOf()).contains(value.toString())) {
             throw new IllegalArgumentException("is one of " + String.join(", ", key.oneOf()) + ", not " + value
-                    + Nearest.hint(value.toString(), List.of(key.oneOf())));
+                    + NameSuggestion.hint(value.toString(), List.of(key.oneOf())));
         }
         if (value instanceof Number number) {
             if (!Double.isFinite(number.doubleValue())) {
                 throw new IllegalArgumentException("is not a finite number");
             }
-            bound(entry, number, key.least(), true);
-            bound(entry, number, key.most(), false);
+            checkBound(entry, number, key.least(), true);
+            checkBound(entry, number, key.most(), false);
         }
     }
 
-    private static void bound(Entry entry, Number value, String limit, boolean least) {
+    /** Throws IllegalArgumentException where a value is beyond a limit; an empty limit is none. */
+    private static void checkBound(Entry entry, Number value, String limit, boolean minimum) {
         if (!limit.isEmpty()) {
-            int order = Double.compare(value.doubleValue(), ((Number) entry.read(limit)).doubleValue());
-            if (least ? order < 0 : order > 0) {
-                throw new IllegalArgumentException("is " + entry.write(value) + ", but at " + (least ? "least " : "most ")
+            int order = Double.compare(value.doubleValue(), ((Number) entry.parse(limit)).doubleValue());
+            if (minimum ? order < 0 : order > 0) {
+                throw new IllegalArgumentException("is " + entry.format(value) + ", but at " + (minimum ? "least " : "most ")
                         + limit + " is allowed");
             }
         }
     }
 
     /**
-     * The section that is in force after a reload: live keys as the newer one has them, all others as they were. Guards a
-     * subsystem against half a change; where the two don't go together, what was in force stays.
+     * Returns the section that applies after a reload: live keys have the values of the newer section, all others keep theirs.
+     * Where the record's constructor rejects that combination, the section in force stays whole, so that a subsystem never sees part
+     * of a change.
      */
     @SuppressWarnings("unchecked")
-    public S reloaded(Record inForce, Record newer) {
+    public S mergeReloaded(Record inForce, Record newer) {
         try {
             RecordComponent[] components = type.getRecordComponents();
             Object[] values = new Object[components.length];
@@ -203,13 +205,13 @@
         }
     }
 
-    /** The value of a key, as it would stand in the file. */
-    String written(Record section, Entry entry) {
+    /** Returns the value of a key, formatted as in the file. */
+    String formattedValue(Record section, Entry entry) {
         try {
             for (RecordComponent component : type.getRecordComponents()) {
                 if (entry(component).name.equals(entry.name)) {
                     component.getAccessor().setAccessible(true);
-                    return entry.write(component.getAccessor().invoke(section));
+                    return entry.format(component.getAccessor().invoke(section));
                 }
             }
             throw new IllegalArgumentException(entry.name);
--- a/wire/src/main/java/wrenreach/wirehost/Node.java
+++ b/wire/src/main/java/wrenreach/wirehost/Node.java
@@ -17,30 +17,31 @@
 import wrenreach.wire.Event;
 import wrenreach.wire.ReplyWriter;
 
-/** One life of one delivery node: its module and the objects that the wire's ids stand for. */
+/** One incarnation of a delivery node: its dispatcher, and the objects that the ids of the protocol stand for. */
 final class Node {
     final int number;
-    private final int life;
-    private final Dispatcher module;
+    /** Sent as the label of a wake-up. */
+    private final int incarnation;
+    private final Dispatcher dispatcher;
     private final Map<Long, Mail> mails = new HashMap<>();
     private final Directory<Long> directory = new Directory<>();
-    private final List<Action> answers = new ArrayList<>();
+    private final List<Action> actions = new ArrayList<>();
 
-    Node(int number, int life, Dispatcher module) {
+    Node(int number, int incarnation, Dispatcher dispatcher) {
         this.number = number;
-        this.life = life;
-        this.module = module;
+        this.incarnation = incarnation;
+        this.dispatcher = dispatcher;
     }
 
     void view(Event.View view, List<Event.Host> hosts, long now) {
         List<EndpointUpdate.Entry> entries = new ArrayList<>(hosts.size());
         for (Event.Host host : hosts) {
-            Destination to = directory.destination(host.dest());
+            Destination destination = directory.destination(host.dest());
             Endpoint endpoint = directory.endpoint(host.endpoint(),
-                    () -> new Endpoint(host.endpoint(), to, host.sku(), host.zone()));
+                    () -> new Endpoint(host.endpoint(), destination, host.sku(), host.zone()));
             entries.add(new EndpointUpdate.Entry(endpoint, state(host.availability()), host.share()));
         }
-        answers.addAll(module.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.values()[view.scope()], entries), now));
+        actions.addAll(dispatcher.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.values()[view.scope()], entries), now));
     }
 
     void req(Event.Req req, long now) {
@@ -48,7 +49,7 @@
         Mail mail = new Mail(req.call(), directory.destination(req.dest()), key, req.type(), (int) req.client(), now,
                 now + req.expiresIn());
         mails.put(req.call(), mail);
-        answers.addAll(module.admit(mail, now));
+        actions.addAll(dispatcher.admit(mail, now));
     }
 
     void response(Event.Response response, long now) {
@@ -56,53 +57,56 @@
         if (mail == null || response.number() >= mail.attempts.size()) {
             return;
         }
-        DeliveryAttempt connect = mail.attempts.get(response.number());
-        answers.addAll(module.attemptEnded(connect, outcome(response), response.feedback(), response.done(), now));
-        forget(mail, response.call());
+        DeliveryAttempt attempt = mail.attempts.get(response.number());
+        actions.addAll(dispatcher.attemptEnded(attempt, outcome(response), response.feedback(), response.done(), now));
+        removeIfFinished(mail, response.call());
     }
 
     void cancelled(Event.Cancelled cancelled, long now) {
         Mail mail = mails.get(cancelled.call());
         if (mail != null) {
-            answers.addAll(module.withdrawn(mail, now));
-            forget(mail, cancelled.call());
+            actions.addAll(dispatcher.withdrawn(mail, now));
+            removeIfFinished(mail, cancelled.call());
         }
     }
 
-    void next(long now) {
+    /** Ends a batch: removes unused order keys and endpoints from the directory, and collects what the dispatcher wants done next. */
+    void collectNextActions(long now) {
         directory.sweep(now);
-        answers.addAll(module.nextActions(now));
+        actions.addAll(dispatcher.nextActions(now));
     }
 
-    void write(ReplyWriter reply) {
-        for (Action answer : answers) {
-            if (answer instanceof Action.Send send) {
-                DeliveryAttempt connect = send.attempt();
-                reply.callOut(number, connect.mail.id, connect.endpoint.address, connect.timeoutAt);
-            } else if (answer instanceof Action.Cancel revoke) {
-                reply.revoke(number, revoke.attempt().mail.id, revoke.attempt().number);
-            } else if (answer instanceof Action.Defer defer) {
+    /** Writes the collected actions to the reply and clears them. */
+    void writeActions(ReplyWriter reply) {
+        for (Action action : actions) {
+            if (action instanceof Action.Send send) {
+                DeliveryAttempt attempt = send.attempt();
+                reply.callOut(number, attempt.mail.id, attempt.endpoint.address, attempt.timeoutAt);
+            } else if (action instanceof Action.Cancel cancel) {
+                reply.revoke(number, cancel.attempt().mail.id, cancel.attempt().number);
+            } else if (action instanceof Action.Defer defer) {
                 reply.reject(number, defer.mail().id, defer.retryAfter());
-                forget(defer.mail(), defer.mail().id);
-            } else if (answer instanceof Action.Bounce bounce) {
+                removeIfFinished(defer.mail(), defer.mail().id);
+            } else if (action instanceof Action.Bounce bounce) {
                 reply.fail(number, bounce.mail().id);
-                forget(bounce.mail(), bounce.mail().id);
-            } else if (answer instanceof Action.WakeUp wake) {
-                reply.notifyMe(number, life, wake.delay());
-            } else if (answer instanceof Action.ReleaseConnections release) {
+                removeIfFinished(bounce.mail(), bounce.mail().id);
+            } else if (action instanceof Action.WakeUp wake) {
+                reply.notifyMe(number, incarnation, wake.delay());
+            } else if (action instanceof Action.ReleaseConnections release) {
                 reply.release(number, release.endpoint().address);
-            } else if (answer instanceof Action.SubscribeToList) {
+            } else if (action instanceof Action.SubscribeToList) {
                 reply.track(number);
-            } else if (answer instanceof Action.FetchList) {
+            } else if (action instanceof Action.FetchList) {
                 reply.listAll(number);
-            } else if (answer instanceof Action.LogNote note) {
+            } else if (action instanceof Action.LogNote note) {
                 reply.journalLine(number, note.text());
             }
         }
-        answers.clear();
+        actions.clear();
     }
 
-    private void forget(Mail mail, long id) {
+    /** Removes a mail that the dispatcher is done with and that has no attempt in flight. */
+    private void removeIfFinished(Mail mail, long id) {
         if (mail.finished && mail.inFlight == 0) {
             mails.remove(id);
         }
--- a/wire/src/main/java/wrenreach/wirehost/WireHost.java
+++ b/wire/src/main/java/wrenreach/wirehost/WireHost.java
@@ -21,26 +21,32 @@
 import wrenreach.wire.ReplyWriter;
 import wrenreach.wire.WireException;
 
-/** Hosts many delivery nodes on the wire. */
+/**
+ * Runs many delivery nodes over the simulator's binary protocol: reads batches of events, passes them to the nodes' dispatchers and
+ * answers each batch with one frame of actions. For one thread.
+ */
 public final class WireHost {
     private final FrameReader in;
     private final OutputStream out;
     private final PrintStream err;
-    private final Function<Settings, Dispatcher> module;
+    private final Function<Settings, Dispatcher> dispatcherFactory;
+    /** The hosts of each manifest, by roster number. */
     private final Map<Integer, List<Event.Host>> rosters = new HashMap<>();
     private final Map<Integer, Node> nodes = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
-    private final Set<Node> touched = new LinkedHashSet<>();
-    private int lives;
+    /** Nodes that events of the current batch concern: only these are asked for actions. */
+    private final Set<Node> affectedNodes = new LinkedHashSet<>();
+    /** How many nodes have been enlisted; the number tells the incarnations of a node apart. */
+    private int incarnations;
 
-    public WireHost(InputStream in, OutputStream out, PrintStream err, Function<Settings, Dispatcher> module) {
+    public WireHost(InputStream in, OutputStream out, PrintStream err, Function<Settings, Dispatcher> dispatcherFactory) {
         this.in = new FrameReader(new BufferedInputStream(in, 1 << 16));
         this.out = new BufferedOutputStream(out, 1 << 16);
         this.err = err;
-        this.module = module;
+        this.dispatcherFactory = dispatcherFactory;
     }
 
-    /** Serves until the end of input; the result is the exit code. */
+    /** Serves until the end of input. Returns the exit code: 0, or 1 after malformed input or a failed read or write. */
     public int run() {
         try {
             for (Event.Batch batch = in.read(); batch != null; batch = in.read()) {
@@ -57,7 +63,7 @@
     }
 
     private void handle(Event.Batch batch) throws WireException {
-        touched.clear();
+        affectedNodes.clear();
         for (int i = 0; i < batch.events().size(); i++) {
             Event event = batch.events().get(i);
             if (event instanceof Event.Enlist enlist) {
@@ -65,69 +71,72 @@
             } else if (event instanceof Event.Manifest manifest) {
                 rosters.put(manifest.roster(), manifest.hosts());
             } else if (event instanceof Event.Stop stop) {
-                touched.remove(nodes.remove(stop.node()));
+                affectedNodes.remove(nodes.remove(stop.node()));
             } else if (event instanceof Event.View view) {
                 List<Event.Host> hosts = view.scope() == 3 ? List.of() : rosters.get(view.roster());
                 if (hosts == null) {
                     throw new WireException("record " + i + " (view): RosterId names list " + view.roster()
                             + ", expected the number of a manifest sent before");
                 }
-                tell(view.node(), node -> node.view(view, hosts, batch.clock()));
+                deliver(view.node(), node -> node.view(view, hosts, batch.clock()));
             } else {
                 dispatch(event, batch.clock());
             }
         }
-        for (Node node : new ArrayList<>(touched)) {
-            guard(node, n -> n.next(batch.clock()));
-            if (touched.contains(node)) {
-                node.write(reply);
+        for (Node node : new ArrayList<>(affectedNodes)) {
+            runGuarded(node, n -> n.collectNextActions(batch.clock()));
+            if (affectedNodes.contains(node)) {
+                node.writeActions(reply);
             }
         }
     }
 
     private void dispatch(Event event, long now) {
         if (event instanceof Event.Req req) {
-            tell(req.node(), node -> node.req(req, now));
+            deliver(req.node(), node -> node.req(req, now));
         } else if (event instanceof Event.Response response) {
-            tell(response.node(), node -> node.response(response, now));
+            deliver(response.node(), node -> node.response(response, now));
         } else if (event instanceof Event.Cancelled cancelled) {
-            tell(cancelled.node(), node -> node.cancelled(cancelled, now));
+            deliver(cancelled.node(), node -> node.cancelled(cancelled, now));
         } else if (event instanceof Event.Ring ring) {
-            tell(ring.node(), node -> { });
+            deliver(ring.node(), node -> { });
         }
     }
 
+    /** Starts a new incarnation of a node; one that is still there is dropped. */
     private void enlist(Event.Enlist enlist) {
-        touched.remove(nodes.remove(enlist.node()));
+        affectedNodes.remove(nodes.remove(enlist.node()));
         try {
             Settings settings = SettingsText.read(enlist.conf(), enlist.seed());
-            Node node = new Node(enlist.node(), ++lives, module.apply(settings));
+            Node node = new Node(enlist.node(), ++incarnations, dispatcherFactory.apply(settings));
             nodes.put(enlist.node(), node);
-            touched.add(node);
+            affectedNodes.add(node);
         } catch (RuntimeException e) {
-            fault(enlist.node(), e);
+            reportFault(enlist.node(), e);
         }
     }
 
-    private void tell(int number, java.util.function.Consumer<Node> what) {
+    /** Passes an event to a node; events for a node that is not enlisted are dropped. */
+    private void deliver(int number, java.util.function.Consumer<Node> action) {
         Node node = nodes.get(number);
         if (node != null) {
-            touched.add(node);
-            guard(node, what);
+            affectedNodes.add(node);
+            runGuarded(node, action);
         }
     }
 
-    private void guard(Node node, java.util.function.Consumer<Node> what) {
+    /** Runs an action on a node; a node whose dispatcher throws is removed and reported as faulty, and the other nodes go on. */
+    private void runGuarded(Node node, java.util.function.Consumer<Node> action) {
         try {
-            what.accept(node);
+            action.accept(node);
         } catch (RuntimeException e) {
             nodes.remove(node.number);
-            touched.remove(node);
-            fault(node.number, e);
+            affectedNodes.remove(node);
+            reportFault(node.number, e);
         }
     }
 
-    private void fault(int number, RuntimeException e) {
+    private void reportFault(int number, RuntimeException e) {
         e.printStackTrace(err);
         String text = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
         reply.fault(number, text);
