--- a/lists/src/main/java/wrenreach/lists/Generation.java
+++ b/lists/src/main/java/wrenreach/lists/Generation.java
@@ -11,32 +11,32 @@
  * it; endpoints: by the id that the node knows them under, in the order of the files; serving: how many endpoints serve
  * each destination that the list names.
  */
-record Generation(String print, String label, Map<String, ListUpdate.Entry> endpoints, Map<Integer, Integer> serving) {
+record Generation(String fingerprint, String label, Map<String, ListUpdate.Entry> endpoints, Map<Integer, Integer> servingCounts) {
     static final String SERVING = "SERVING", DRAINING = "DRAINING", DELETED = "DELETED";
-    private static final String PREFIX = "file:";
+    private static final String ID_PREFIX = "file:";
 
     /** The same, with what serves each destination counted. */
     Generation(String print, String label, Map<String, ListUpdate.Entry> endpoints) {
         this(print, label, endpoints, new HashMap<>());
-        endpoints.values().forEach(e -> serving.merge(e.group(), serves(e) ? 1 : 0, Integer::sum));
+        endpoints.values().forEach(e -> servingCounts.merge(e.group(), isServing(e) ? 1 : 0, Integer::sum));
     }
 
     /** Guards against discovery's endpoints of the same name, and a name that stands at two destinations. */
-    static String id(int destination, String name) {
-        return PREFIX + destination + "/" + name;
+    static String idOf(int destination, String name) {
+        return ID_PREFIX + destination + "/" + name;
     }
 
     /** The name that an id was made of. */
-    static String name(String id) {
+    static String nameOf(String id) {
         return id.substring(id.indexOf('/') + 1);
     }
 
-    static boolean serves(ListUpdate.Entry entry) {
+    static boolean isServing(ListUpdate.Entry entry) {
         return entry != null && entry.status().equals(SERVING);
     }
 
     /** The ids of endpoints that the two lists know differently; earlier may be null. */
-    static List<String> differing(Generation earlier, Generation next) {
+    static List<String> differingIds(Generation earlier, Generation next) {
         Map<String, ListUpdate.Entry> before = earlier == null ? Map.of() : earlier.endpoints;
         List<String> ids = new ArrayList<>();
         next.endpoints.forEach((id, entry) -> {
--- a/lists/src/main/java/wrenreach/lists/ListGuard.java
+++ b/lists/src/main/java/wrenreach/lists/ListGuard.java
@@ -18,16 +18,16 @@
  */
 final class ListGuard {
     /** Reasons that are told one by one; the rest are counted. */
-    private static final int TOLD = 5;
+    private static final int MAX_REASONS = 5;
 
     /** mostGone: the part of a zone's endpoints that may go within the window (microseconds) unconfirmed. */
-    record Limits(double mostGone, long window) { }
+    record Limits(double maxRemovedShare, long window) { }
 
     /** What becomes of a list. */
     sealed interface Verdict { }
 
     /** It is in force already. */
-    record Same() implements Verdict { }
+    record Unchanged() implements Verdict { }
 
     /** It takes effect; confirmed: somebody had to say so. */
     record Accepted(boolean confirmed) implements Verdict { }
@@ -35,10 +35,10 @@
     /** It waits for a confirmation. */
     record HeldBack(List<String> reasons) implements Verdict { }
 
-    private record Gone(String zone, long at) { }
+    private record RemovedEndpoint(String zone, long removedAt) { }
 
     /** What lists within the window have taken away and none has brought back; at most what was listed in it. */
-    private final Map<String, Gone> gone = new HashMap<>();
+    private final Map<String, RemovedEndpoint> recentlyRemoved = new HashMap<>();
     private Limits limits;
     private Generation inForce;
 
@@ -48,7 +48,7 @@
         this.inForce = inForce;
     }
 
-    void limit(Limits now) {
+    void setLimits(Limits now) {
         limits = now;
     }
 
@@ -59,25 +59,25 @@
 
     /** What becomes of the list; confirm: the print that its writer confirms, or "". An accepted one is in force. */
     Verdict judge(Generation next, String confirm, long now) {
-        if (inForce != null && inForce.print().equals(next.print())) {
-            return new Same();
+        if (inForce != null && inForce.fingerprint().equals(next.fingerprint())) {
+            return new Unchanged();
         }
-        gone.values().removeIf(one -> one.at() + limits.window() <= now);
+        recentlyRemoved.values().removeIf(one -> one.removedAt() + limits.window() <= now);
         List<String> reasons = objections(next);
-        boolean confirmed = confirm.equals(next.print());
+        boolean confirmed = confirm.equals(next.fingerprint());
         if (!reasons.isEmpty() && !confirmed) {
             return new HeldBack(reasons);
         }
         if (!reasons.isEmpty()) {
             // What somebody has confirmed is the new measure.
-            gone.clear();
+            recentlyRemoved.clear();
         } else if (inForce != null) {
             inForce.endpoints().forEach((id, entry) -> {
-                if (Generation.serves(entry) && !Generation.serves(next.endpoints().get(id))) {
-                    gone.put(id, new Gone(entry.zone(), now));
+                if (Generation.isServing(entry) && !Generation.isServing(next.endpoints().get(id))) {
+                    recentlyRemoved.put(id, new RemovedEndpoint(entry.zone(), now));
                 }
             });
-            gone.keySet().removeIf(id -> Generation.serves(next.endpoints().get(id)));
+            recentlyRemoved.keySet().removeIf(id -> Generation.isServing(next.endpoints().get(id)));
         }
         inForce = next;
         return new Accepted(!reasons.isEmpty());
@@ -85,15 +85,15 @@
 
     private List<String> objections(Generation next) {
         List<String> reasons = new ArrayList<>();
-        if (next.endpoints().values().stream().noneMatch(Generation::serves)) {
+        if (next.endpoints().values().stream().noneMatch(Generation::isServing)) {
             reasons.add("it names no endpoint that serves");
         }
         if (inForce == null) {
             return reasons;
         }
-        Map<Integer, Integer> after = next.serving();
+        Map<Integer, Integer> after = next.servingCounts();
         Set<Integer> emptied = new TreeSet<>();
-        new TreeMap<>(inForce.serving()).forEach((destination, count) -> {
+        new TreeMap<>(inForce.servingCounts()).forEach((destination, count) -> {
             if (count > 0 && after.getOrDefault(destination, 0) == 0) {
                 emptied.add(destination);
                 reasons.add("destination " + destination + " would lose " + (count == 1 ? "its only endpoint"
@@ -102,23 +102,23 @@
         });
         Map<String, Set<String>> had = new TreeMap<>();
         for (ListUpdate.Entry entry : inForce.endpoints().values()) {
-            if (Generation.serves(entry)) {
+            if (Generation.isServing(entry)) {
                 had.computeIfAbsent(entry.zone(), zone -> new HashSet<>()).add(entry.name());
             }
         }
-        gone.forEach((id, one) -> had.computeIfAbsent(one.zone(), zone -> new HashSet<>()).add(id));
+        recentlyRemoved.forEach((id, one) -> had.computeIfAbsent(one.zone(), zone -> new HashSet<>()).add(id));
         List<String> zones = new ArrayList<>();
         had.forEach((zone, ids) -> {
-            long lost = ids.stream().filter(id -> !Generation.serves(next.endpoints().get(id))).count();
-            if (lost > limits.mostGone() * ids.size()) {
+            long lost = ids.stream().filter(id -> !Generation.isServing(next.endpoints().get(id))).count();
+            if (lost > limits.maxRemovedShare() * ids.size()) {
                 zones.add(String.format(Locale.ROOT, "zone %s would lose %d of %d endpoints, at most %.0f%% may go",
-                        zone.isEmpty() ? "\"\"" : zone, lost, ids.size(), 100 * limits.mostGone()));
+                        zone.isEmpty() ? "\"\"" : zone, lost, ids.size(), 100 * limits.maxRemovedShare()));
             }
         });
         reasons.addAll(0, zones);
-        if (reasons.size() > TOLD) {
-            int more = reasons.size() - TOLD;
-            reasons.subList(TOLD, reasons.size()).clear();
+        if (reasons.size() > MAX_REASONS) {
+            int more = reasons.size() - MAX_REASONS;
+            reasons.subList(MAX_REASONS, reasons.size()).clear();
             reasons.add("and " + more + " more");
         }
         return reasons;
--- a/lists/src/main/java/wrenreach/lists/ListsCommand.java
+++ b/lists/src/main/java/wrenreach/lists/ListsCommand.java
@@ -14,8 +14,8 @@
 
 /** wrenreach lists check|make|status. */
 final class ListsCommand implements Command {
-    private static final ListFiles.Bounds BOUNDS = new ListFiles.Bounds(1L << 30, 1_000_000, 65_536);
-    private static final String LABEL = "--label=", CONFIRM = "--confirm";
+    private static final ListFiles.Bounds LIMITS = new ListFiles.Bounds(1L << 30, 1_000_000, 65_536);
+    private static final String LABEL_OPTION = "--label=", CONFIRM_OPTION = "--confirm";
 
     @Override public String name() {
         return "lists";
@@ -48,18 +48,18 @@
     }
 
     private static void check(Path file, PrintStream out) throws InvalidListException {
-        ListFiles.Found found = ListFiles.find(file);
-        ListFiles.Manifest manifest = ListFiles.manifest(found.real(), found.bytes());
-        Generation list = ListFiles.read(found, manifest, BOUNDS, null);
+        ListFiles.ManifestFile found = ListFiles.loadManifest(file);
+        ListFiles.Manifest manifest = ListFiles.parseManifest(found.realPath(), found.bytes());
+        Generation list = ListFiles.readList(found, manifest, LIMITS, null);
         Map<String, Integer> zones = new TreeMap<>();
         Map<String, Integer> serving = new TreeMap<>();
         for (ListUpdate.Entry entry : list.endpoints().values()) {
             zones.merge(entry.zone(), 1, Integer::sum);
-            serving.merge(entry.zone(), Generation.serves(entry) ? 1 : 0, Integer::sum);
+            serving.merge(entry.zone(), Generation.isServing(entry) ? 1 : 0, Integer::sum);
         }
-        out.printf("%s \"%s\": %d endpoints of %d destinations in %d parts%s%n", list.print(), list.label(),
-                list.endpoints().size(), list.serving().size(), manifest.parts().size(),
-                manifest.confirm().isEmpty() ? "" : manifest.confirm().equals(list.print()) ? ", confirmed"
+        out.printf("%s \"%s\": %d endpoints of %d destinations in %d parts%s%n", list.fingerprint(), list.label(),
+                list.endpoints().size(), list.servingCounts().size(), manifest.parts().size(),
+                manifest.confirm().isEmpty() ? "" : manifest.confirm().equals(list.fingerprint()) ? ", confirmed"
                         : ", confirms another list: " + manifest.confirm());
         zones.forEach((zone, count) -> out.printf("  zone %-12s %d endpoints, %d of them serving%n",
                 zone.isEmpty() ? "\"\"" : zone, count, serving.get(zone)));
@@ -70,40 +70,40 @@
         boolean confirm = false;
         List<ListFiles.Part> parts = new ArrayList<>();
         for (String word : words) {
-            if (word.startsWith(LABEL)) {
-                label = word.substring(LABEL.length());
-            } else if (word.equals(CONFIRM)) {
+            if (word.startsWith(LABEL_OPTION)) {
+                label = word.substring(LABEL_OPTION.length());
+            } else if (word.equals(CONFIRM_OPTION)) {
                 confirm = true;
             } else {
-                parts.add(new ListFiles.Part(word, ListFiles.sum(Files.readAllBytes(file.resolveSibling(word)))));
+                parts.add(new ListFiles.Part(word, ListFiles.sha256Hex(Files.readAllBytes(file.resolveSibling(word)))));
             }
         }
         ListFiles.Manifest manifest = new ListFiles.Manifest(label, "", parts);
-        manifest = new ListFiles.Manifest(label, confirm ? manifest.print() : "", parts);
+        manifest = new ListFiles.Manifest(label, confirm ? manifest.fingerprint() : "", parts);
         byte[] bytes = ListFiles.write(manifest);
         // Nothing is put in place that a node would not read.
-        Generation list = ListFiles.read(new ListFiles.Found(file.toAbsolutePath(), bytes),
-                ListFiles.manifest(file, bytes), BOUNDS, null);
-        ListFiles.replace(file, bytes);
-        out.printf("%s: %s \"%s\", %d endpoints%n", file, list.print(), list.label(), list.endpoints().size());
+        Generation list = ListFiles.readList(new ListFiles.ManifestFile(file.toAbsolutePath(), bytes),
+                ListFiles.parseManifest(file, bytes), LIMITS, null);
+        ListFiles.replaceAtomically(file, bytes);
+        out.printf("%s: %s \"%s\", %d endpoints%n", file, list.fingerprint(), list.label(), list.endpoints().size());
     }
 
     private static int status(Path folder, PrintStream out) throws IOException {
         Status s = Status.read(folder);
-        if (s.print().isEmpty()) {
+        if (s.fingerprint().isEmpty()) {
             out.println("in force: no list yet");
         } else {
-            out.printf("in force: %s \"%s\", %d endpoints, since %s%n", s.print(), s.label(), s.endpoints(),
-                    Instant.ofEpochMilli(s.since()));
+            out.printf("in force: %s \"%s\", %d endpoints, since %s%n", s.fingerprint(), s.label(), s.endpointCount(),
+                    Instant.ofEpochMilli(s.inForceSince()));
         }
-        if (!s.heldPrint().isEmpty()) {
-            out.printf("held back: %s \"%s\" since %s, until the manifest says \"confirm\": \"%s\"%n", s.heldPrint(),
-                    s.heldLabel(), Instant.ofEpochMilli(s.heldSince()), s.heldPrint());
-            s.reasons().forEach(reason -> out.println("  " + reason));
+        if (!s.heldFingerprint().isEmpty()) {
+            out.printf("held back: %s \"%s\" since %s, until the manifest says \"confirm\": \"%s\"%n", s.heldFingerprint(),
+                    s.heldLabel(), Instant.ofEpochMilli(s.heldSince()), s.heldFingerprint());
+            s.heldReasons().forEach(reason -> out.println("  " + reason));
         }
         if (!s.fault().isEmpty()) {
             out.printf("can't be read since %s: %s%n", Instant.ofEpochMilli(s.faultSince()), s.fault());
         }
-        return s.quiet() ? 0 : 1;
+        return s.isHealthy() ? 0 : 1;
     }
 }
--- a/lists/src/main/java/wrenreach/lists/Status.java
+++ b/lists/src/main/java/wrenreach/lists/Status.java
@@ -15,37 +15,37 @@
  * What the node says of its lists, kept in a file for staff. Times in milliseconds of the wall's clock, 0: never; texts
  * are empty where there is nothing to say.
  */
-record Status(long writtenAt, String print, String label, int endpoints, long since, long accepted,
-              String heldPrint, String heldLabel, List<String> reasons, long heldSince, String fault, long faultSince) {
-    static final String FILE = "status.json";
+record Status(long writtenAt, String fingerprint, String label, int endpointCount, long inForceSince, long acceptedCount,
+              String heldFingerprint, String heldLabel, List<String> heldReasons, long heldSince, String fault, long faultSince) {
+    static final String FILE_NAME = "status.json";
     private static final JsonFactory JSON = new JsonFactory();
 
-    static Status none() {
+    static Status empty() {
         return new Status(0, "", "", 0, 0, 0, "", "", List.of(), 0, "", 0);
     }
 
     /** A list is in force: nothing is held back and nothing is wrong any more. */
-    Status inForce(Generation list, long now) {
-        return new Status(now, list.print(), list.label(), list.endpoints().size(), now, accepted + 1, "", "", List.of(),
+    Status withInForce(Generation list, long now) {
+        return new Status(now, list.fingerprint(), list.label(), list.endpoints().size(), now, acceptedCount + 1, "", "", List.of(),
                 0, "", 0);
     }
 
     /** The list in force was read again. */
-    Status sound(long now) {
-        return new Status(now, print, label, endpoints, since, accepted, "", "", List.of(), 0, "", 0);
+    Status withReadable(long now) {
+        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, "", "", List.of(), 0, "", 0);
     }
 
-    Status heldBack(Generation list, List<String> why, long now) {
-        return new Status(now, print, label, endpoints, since, accepted, list.print(), list.label(), why, now, "", 0);
+    Status withHeldBack(Generation list, List<String> why, long now) {
+        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, list.fingerprint(), list.label(), why, now, "", 0);
     }
 
-    Status faulty(String what, long now) {
-        return new Status(now, print, label, endpoints, since, accepted, heldPrint, heldLabel, reasons, heldSince, what,
+    Status withFault(String what, long now) {
+        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, heldFingerprint, heldLabel, heldReasons, heldSince, what,
                 fault.isEmpty() ? now : faultSince);
     }
 
-    boolean quiet() {
-        return heldPrint.isEmpty() && fault.isEmpty();
+    boolean isHealthy() {
+        return heldFingerprint.isEmpty() && fault.isEmpty();
     }
 
     void write(Path folder) throws IOException {
@@ -54,16 +54,16 @@
             json.useDefaultPrettyPrinter();
             json.writeStartObject();
             json.writeNumberField("written_at", writtenAt);
-            json.writeStringField("print", print);
+            json.writeStringField("print", fingerprint);
             json.writeStringField("label", label);
-            json.writeNumberField("endpoints", endpoints);
-            json.writeNumberField("since", since);
-            json.writeNumberField("accepted", accepted);
-            json.writeStringField("held_print", heldPrint);
+            json.writeNumberField("endpoints", endpointCount);
+            json.writeNumberField("since", inForceSince);
+            json.writeNumberField("accepted", acceptedCount);
+            json.writeStringField("held_print", heldFingerprint);
             json.writeStringField("held_label", heldLabel);
             json.writeNumberField("held_since", heldSince);
             json.writeArrayFieldStart("held_reasons");
-            for (String reason : reasons) {
+            for (String reason : heldReasons) {
                 json.writeString(reason);
             }
             json.writeEndArray();
@@ -72,7 +72,7 @@
             json.writeEndObject();
             json.writeRaw('\n');
         }
-        ListFiles.replace(folder.resolve(FILE), out.toByteArray());
+        ListFiles.replaceAtomically(folder.resolve(FILE_NAME), out.toByteArray());
     }
 
     /** What a node wrote last; IOException where there is none or it can't be read. */
@@ -81,7 +81,7 @@
         long writtenAt = 0, since = 0, accepted = 0, heldSince = 0, faultSince = 0;
         int endpoints = 0;
         String print = "", label = "", heldPrint = "", heldLabel = "", fault = "";
-        try (JsonParser in = JSON.createParser(Files.readAllBytes(folder.resolve(FILE)))) {
+        try (JsonParser in = JSON.createParser(Files.readAllBytes(folder.resolve(FILE_NAME)))) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("no status");
             }
--- a/lists/src/main/java/wrenreach/lists/WatchedLists.java
+++ b/lists/src/main/java/wrenreach/lists/WatchedLists.java
@@ -30,55 +30,55 @@
  */
 final class WatchedLists implements RunningSubsystem<ListsSection>, FileWatch.ChangeHandler, ListFilter {
     private static final System.Logger LOG = System.getLogger(WatchedLists.class.getName());
-    static final String KEPT = "in-force.jsonl";
+    static final String IN_FORCE_FILE = "in-force.jsonl";
     /** How long one line on a fault stands for those that follow, in microseconds. */
-    private static final long QUIET = 10_000_000;
+    private static final long FAULT_LOG_INTERVAL_MICROS = 10_000_000;
     /** Endpoints made ready in one go, and how long to wait for the loop to do it. */
-    private static final int PIECE = 500, PIECE_MS = 2000;
+    private static final int PREPARE_BATCH = 500, PREPARE_TIMEOUT_MS = 2000;
 
     private final NodeContext host;
     private final AtomicReference<ListsSection> section;
-    private final Path kept;
+    private final Path keptFolder;
     private final FileWatch watch;
     // The loop's.
-    private final Roster roster;
-    private long dueAt = Long.MAX_VALUE;
+    private final EndpointMerger merger;
+    private long nextRemovalAt = Long.MAX_VALUE;
     // The watching thread's.
     private final ListGuard guard;
-    private Status status = Status.none();
-    private byte[] settled = new byte[0];
+    private Status status = Status.empty();
+    private byte[] handledManifest = new byte[0];
     private InvalidListException fault;
-    private String faultTold = "";
-    private long quietUntil = Long.MIN_VALUE;
+    private String loggedFault = "";
+    private long faultLogSilentUntil = Long.MIN_VALUE;
 
     WatchedLists(ListsSection section, NodeContext host) throws Subsystem.StartException {
         this.section = new AtomicReference<>(section);
         this.host = host;
-        kept = section.kept();
+        keptFolder = section.kept();
         try {
-            Files.createDirectories(kept);
+            Files.createDirectories(keptFolder);
         } catch (IOException e) {
-            throw new Subsystem.StartException("the folder kept = " + kept + " can't be used: " + e);
+            throw new Subsystem.StartException("the folder kept = " + keptFolder + " can't be used: " + e);
         }
-        guard = new ListGuard(section.limits(), earlier(section));
+        guard = new ListGuard(section.limits(), readPreviousList(section));
         fileChanged();
         if (fault != null) {
-            tellFault(fault.getMessage());
+            reportFault(fault.getMessage());
         }
-        roster = new Roster(section.scope().equals("all"), section.drain(), guard.inForce());
+        merger = new EndpointMerger(section.scope().equals("all"), section.drain(), guard.inForce());
         watch = new FileWatch("wrenreach-lists", () -> List.of(section.manifest()), section.look(), section.patience(),
                 this);
     }
 
     /** The list that an earlier process went by. */
-    private Generation earlier(ListsSection from) throws Subsystem.StartException {
-        Path file = kept.resolve(KEPT);
+    private Generation readPreviousList(ListsSection from) throws Subsystem.StartException {
+        Path file = keptFolder.resolve(IN_FORCE_FILE);
         if (!Files.exists(file)) {
             return null;
         }
         try {
-            Generation list = ListFiles.reread(file, from.bounds());
-            status = status.inForce(list, System.currentTimeMillis());
+            Generation list = ListFiles.readStored(file, from.bounds());
+            status = status.withInForce(list, System.currentTimeMillis());
             return list;
         } catch (InvalidListException e) {
             // A guess at which endpoints there are would be worse than not to start.
@@ -98,7 +98,7 @@
 
     @Override public void reloaded(ListsSection newer) {
         section.set(newer);
-        roster.drainFor(newer.drain());
+        merger.setDrainTime(newer.drain());
     }
 
     @Override public Optional<ListFilter> listFilter() {
@@ -106,31 +106,31 @@
     }
 
     @Override public ListUpdate filter(ListUpdate line, long now) {
-        ListUpdate changes = roster.discovered(line, now);
-        drainLater(now);
+        ListUpdate changes = merger.discoveryUpdated(line, now);
+        scheduleRemoval(now);
         return changes;
     }
 
-    private void take(Generation list, List<String> differing) {
+    private void applyOnLoop(Generation list, List<String> differing) {
         long now = host.now();
-        ListUpdate changes = roster.accepted(list, differing, now);
+        ListUpdate changes = merger.listAccepted(list, differing, now);
         host.updateEndpoints(changes);
-        drainLater(now);
+        scheduleRemoval(now);
     }
 
     /** Has what is drained go when its time is up. */
-    private void drainLater(long now) {
-        long at = roster.dueAt();
-        if (at < dueAt) {
-            dueAt = at;
+    private void scheduleRemoval(long now) {
+        long at = merger.nextRemovalAt();
+        if (at < nextRemovalAt) {
+            nextRemovalAt = at;
             host.schedule(() -> {
-                dueAt = Long.MAX_VALUE;
+                nextRemovalAt = Long.MAX_VALUE;
                 long then = host.now();
-                ListUpdate gone = roster.due(then);
+                ListUpdate gone = merger.removeDrained(then);
                 if (!gone.entries().isEmpty()) {
                     host.updateEndpoints(gone);
                 }
-                drainLater(then);
+                scheduleRemoval(then);
             }, Math.max(0, at - now));
         }
     }
@@ -139,26 +139,26 @@
 
     @Override public boolean fileChanged() {
         ListsSection now = section.get();
-        guard.limit(now.limits());
+        guard.setLimits(now.limits());
         try {
-            ListFiles.Found found = ListFiles.find(now.manifest());
-            if (fault == null && Arrays.equals(found.bytes(), settled)) {
+            ListFiles.ManifestFile found = ListFiles.loadManifest(now.manifest());
+            if (fault == null && Arrays.equals(found.bytes(), handledManifest)) {
                 return true;
             }
-            ListFiles.Manifest manifest = ListFiles.manifest(found.real(), found.bytes());
+            ListFiles.Manifest manifest = ListFiles.parseManifest(found.realPath(), found.bytes());
             Generation inForce = guard.inForce();
-            if (inForce == null || !manifest.print().equals(inForce.print())) {
-                judge(ListFiles.read(found, manifest, now.bounds(), inForce), manifest.confirm());
-            } else if (!status.quiet()) {
-                say(status.sound(System.currentTimeMillis()));
+            if (inForce == null || !manifest.fingerprint().equals(inForce.fingerprint())) {
+                judge(ListFiles.readList(found, manifest, now.bounds(), inForce), manifest.confirm());
+            } else if (!status.isHealthy()) {
+                updateStatus(status.withReadable(System.currentTimeMillis()));
             }
-            settled = found.bytes();
-            if (fault != null && !faultTold.isEmpty()) {
+            handledManifest = found.bytes();
+            if (fault != null && !loggedFault.isEmpty()) {
                 LogEvent.log(LOG, Level.INFO, "lists.readable", "lists: {manifest} can be read again",
                         "manifest", now.manifest());
             }
             fault = null;
-            faultTold = "";
+            loggedFault = "";
             return true;
         } catch (InvalidListException e) {
             fault = e;
@@ -168,19 +168,19 @@
 
     @Override public void stillUnfinished() {
         if (fault != null) {
-            tellFault(fault.getMessage());
+            reportFault(fault.getMessage());
         }
     }
 
     /** Guards the log against a writer that is at fault again and again: one line a fault, and one in a while. */
-    private void tellFault(String what) {
+    private void reportFault(String what) {
         long now = host.now();
-        if (!what.equals(faultTold) && now >= quietUntil) {
-            faultTold = what;
-            quietUntil = now + QUIET;
+        if (!what.equals(loggedFault) && now >= faultLogSilentUntil) {
+            loggedFault = what;
+            faultLogSilentUntil = now + FAULT_LOG_INTERVAL_MICROS;
             LogEvent.log(LOG, Level.WARNING, "lists.fault", "lists: {fault}; the list in force stays", "fault", what);
         }
-        say(status.faulty(what, System.currentTimeMillis()));
+        updateStatus(status.withFault(what, System.currentTimeMillis()));
     }
 
     private void judge(Generation list, String confirm) {
@@ -188,34 +188,34 @@
         ListGuard.Verdict verdict = guard.judge(list, confirm, host.now());
         if (verdict instanceof ListGuard.HeldBack held) {
             LogEvent.log(LOG, Level.WARNING, "lists.held", "lists: {print} \"{label}\" is held back until the manifest "
-                    + "confirms {print}: {reasons}", "print", list.print(), "label", list.label(), "reasons",
+                    + "confirms {print}: {reasons}", "print", list.fingerprint(), "label", list.label(), "reasons",
                     String.join("; ", held.reasons()));
-            say(status.heldBack(list, held.reasons(), System.currentTimeMillis()));
+            updateStatus(status.withHeldBack(list, held.reasons(), System.currentTimeMillis()));
         } else if (verdict instanceof ListGuard.Accepted accepted) {
-            if (roster != null) {
-                List<String> differing = Generation.differing(before, list);
+            if (merger != null) {
+                List<String> differing = Generation.differingIds(before, list);
                 try {
-                    prepare(list, differing);
-                    host.loop().execute(() -> take(list, differing));
+                    prepareInBatches(list, differing);
+                    host.loop().execute(() -> applyOnLoop(list, differing));
                 } catch (RejectedExecutionException e) {
                     return; // The node has stopped.
                 }
             }
             LogEvent.log(LOG, Level.INFO, "lists.inforce", "lists: {print} \"{label}\" with {endpoints} endpoints is in "
-                    + "force{confirmed}", "print", list.print(), "label", list.label(), "endpoints",
+                    + "force{confirmed}", "print", list.fingerprint(), "label", list.label(), "endpoints",
                     list.endpoints().size(), "confirmed", accepted.confirmed() ? ", as confirmed" : "");
-            keep(list);
-            say(status.inForce(list, System.currentTimeMillis()));
+            store(list);
+            updateStatus(status.withInForce(list, System.currentTimeMillis()));
         }
     }
 
     /** Guards the loop: what is new is made ready piece by piece, each after the turns that the one before held up. */
-    private void prepare(Generation list, List<String> differing) {
+    private void prepareInBatches(Generation list, List<String> differing) {
         List<ListUpdate.Entry> entries = differing.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
-        for (int from = 0; entries.size() > PIECE && from < entries.size(); from += PIECE) {
-            List<ListUpdate.Entry> piece = entries.subList(from, Math.min(from + PIECE, entries.size()));
+        for (int from = 0; entries.size() > PREPARE_BATCH && from < entries.size(); from += PREPARE_BATCH) {
+            List<ListUpdate.Entry> piece = entries.subList(from, Math.min(from + PREPARE_BATCH, entries.size()));
             try {
-                CompletableFuture.runAsync(() -> host.prepare(piece), host.loop()).get(PIECE_MS, TimeUnit.MILLISECONDS);
+                CompletableFuture.runAsync(() -> host.prepare(piece), host.loop()).get(PREPARE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -227,23 +227,23 @@
         }
     }
 
-    private void keep(Generation list) {
+    private void store(Generation list) {
         try {
-            Path next = kept.resolve(KEPT + ".next");
+            Path next = keptFolder.resolve(IN_FORCE_FILE + ".next");
             try (OutputStream out = Files.newOutputStream(next)) {
                 ListFiles.write(out, list);
             }
-            Files.move(next, kept.resolve(KEPT), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(next, keptFolder.resolve(IN_FORCE_FILE), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             LogEvent.log(LOG, Level.WARNING, "lists.kept", "lists: {print} can't be kept for the next start: {why}",
-                    "print", list.print(), "why", e.getMessage());
+                    "print", list.fingerprint(), "why", e.getMessage());
         }
     }
 
-    private void say(Status next) {
+    private void updateStatus(Status next) {
         status = next;
         try {
-            next.write(kept);
+            next.write(keptFolder);
         } catch (IOException e) {
             LogEvent.log(LOG, Level.WARNING, "lists.status", "lists: status can't be written: {why}", "why", e.getMessage());
         }
--- a/lists/src/test/java/wrenreach/lists/ListFilesTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListFilesTest.java
@@ -22,9 +22,9 @@
     private static final String HEAD = "{\"format\":\"wrenreach-list\",\"version\":1}\n";
     @TempDir Path folder;
 
-    private static Generation part(String text) throws InvalidListException {
-        ListFiles.Reading reading = new ListFiles.Reading(BOUNDS, null);
-        reading.part(FILE, new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
+    private static Generation readPart(String text) throws InvalidListException {
+        ListFiles.ListReader reading = new ListFiles.ListReader(BOUNDS, null);
+        reading.readPart(FILE, new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
         return new Generation("", "", reading.endpoints);
     }
 
@@ -38,27 +38,27 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ListFiles.write(out, list);
         Files.write(folder.resolve("kept"), out.toByteArray());
-        assertThat(ListFiles.reread(folder.resolve("kept"), BOUNDS)).isEqualTo(list);
-        assertThat(part(HEAD + endpoint("") + "{\"end\":1}").endpoints().values()).first().hasToString(
+        assertThat(ListFiles.readStored(folder.resolve("kept"), BOUNDS)).isEqualTo(list);
+        assertThat(readPart(HEAD + endpoint("") + "{\"end\":1}").endpoints().values()).first().hasToString(
                 "Entry[name=file:1/a, address=127.0.0.1:80, zone=, type=, group=1, status=SERVING, weight=1.0]");
     }
 
     /** Guards against half-written files: cut at any byte a part or a manifest is a fault, never a shorter list. */
-    @Test void aFileCutAtAnyByteIsAFault() throws Exception {
+    @Test void aFileTruncatedAtAnyByteIsInvalid() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ListFiles.write(out, Lists.list("1/a@n 1/b@s! 2/a@n"));
         byte[] whole = out.toByteArray();
         byte[] manifest = ListFiles.write(new ListFiles.Manifest("l", "c", List.of(
                 new ListFiles.Part("a", "0".repeat(64)), new ListFiles.Part("b", "1".repeat(64)))));
-        assertThat(ListFiles.manifest(FILE, manifest).parts()).hasSize(2);
+        assertThat(ListFiles.parseManifest(FILE, manifest).parts()).hasSize(2);
         for (int cut = 0; cut < whole.length - 1; cut++) {
             byte[] bytes = Arrays.copyOf(whole, cut);
-            assertThat(catchThrowable(() -> new ListFiles.Reading(BOUNDS, null).part(FILE, new ByteArrayInputStream(bytes)))).as("cut at " + cut)
+            assertThat(catchThrowable(() -> new ListFiles.ListReader(BOUNDS, null).readPart(FILE, new ByteArrayInputStream(bytes)))).as("cut at " + cut)
                     .isInstanceOf(InvalidListException.class);
         }
         for (int cut = 0; cut < manifest.length - 1; cut++) {
             byte[] bytes = Arrays.copyOf(manifest, cut);
-            assertThat(catchThrowable(() -> ListFiles.manifest(FILE, bytes))).as("cut at " + cut)
+            assertThat(catchThrowable(() -> ListFiles.parseManifest(FILE, bytes))).as("cut at " + cut)
                     .isInstanceOf(InvalidListException.class);
         }
     }
@@ -80,55 +80,55 @@
         "{\"name\":\"a\\u0007\"} | part:2: \"name\" holds a control character",
         "[] | part:2: it ends without {\"end\": 0}: cut off",
     })
-    void whatIsWrongIsNamedWithItsLine(String text, String fault) {
-        assertThatThrownBy(() -> part(HEAD + text.replace("E", endpoint("")))).isInstanceOf(InvalidListException.class)
+    void errorsNameTheLine(String text, String fault) {
+        assertThatThrownBy(() -> readPart(HEAD + text.replace("E", endpoint("")))).isInstanceOf(InvalidListException.class)
                 .hasMessage(fault);
     }
 
-    @Test void aListIsBoundedInEveryWay() {
+    @Test void allLimitsOfAListAreEnforced() {
         StringBuilder many = new StringBuilder(HEAD);
         for (int i = 0; i < 6; i++) {
             many.append(endpoint("").replace("\"a\"", "\"a" + i + "\"").replace(":1,", ":" + i % 2 + ","));
         }
-        assertThatThrownBy(() -> part(many.toString())).hasMessageContaining("more than 5 endpoints");
-        assertThatThrownBy(() -> part(many.toString().replace(":0,", ":1,"))).hasMessageContaining("more than 3 endpoints");
-        assertThatThrownBy(() -> part("{\"format\":\"wrenreach-list\",\"version\":2}\n{\"end\":0}"))
+        assertThatThrownBy(() -> readPart(many.toString())).hasMessageContaining("more than 5 endpoints");
+        assertThatThrownBy(() -> readPart(many.toString().replace(":0,", ":1,"))).hasMessageContaining("more than 3 endpoints");
+        assertThatThrownBy(() -> readPart("{\"format\":\"wrenreach-list\",\"version\":2}\n{\"end\":0}"))
                 .hasMessage("part:1: is not of the format wrenreach-list, version 1, but wrenreach-list, version 2");
-        assertThatThrownBy(() -> part("{\"format\":\"other\",\"version\":1}\n")).isInstanceOf(InvalidListException.class);
+        assertThatThrownBy(() -> readPart("{\"format\":\"other\",\"version\":1}\n")).isInstanceOf(InvalidListException.class);
     }
 
     @ParameterizedTest
     @CsvSource({"../a", "/a", "a/../b", "./a", "''"})
-    void aPartLiesBesideItsManifest(String name) throws Exception {
+    void aPartOutsideTheFolderOfItsManifestIsRefused(String name) throws Exception {
         byte[] bytes = ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part(name, "0".repeat(64)))));
-        assertThatThrownBy(() -> ListFiles.manifest(FILE, bytes)).hasMessageContaining("a name beside the manifest");
+        assertThatThrownBy(() -> ListFiles.parseManifest(FILE, bytes)).hasMessageContaining("a name beside the manifest");
     }
 
     /** A part is read as it comes: one that is not written whole is told as that, whatever its text; one of its manifest by its text. */
     @ParameterizedTest
     @CsvSource({"true, 'can''t be read as JSON'", "false, not written whole"})
-    void aSpoiltPartIsToldByItsSumFirst(boolean itsOwn, String told) throws Exception {
+    void aWrongDigestIsReportedBeforeSyntaxErrors(boolean itsOwn, String told) throws Exception {
         Files.writeString(folder.resolve("a"), HEAD + endpoint("") + "{\"end\":" + "x".repeat(100_000));
-        String sum = itsOwn ? ListFiles.sum(Files.readAllBytes(folder.resolve("a"))) : "0".repeat(64);
+        String sum = itsOwn ? ListFiles.sha256Hex(Files.readAllBytes(folder.resolve("a"))) : "0".repeat(64);
         Path file = folder.resolve("manifest");
         Files.write(file, ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part("a", sum)))));
-        ListFiles.Found found = ListFiles.find(file);
-        ListFiles.Manifest manifest = ListFiles.manifest(file, found.bytes());
-        assertThatThrownBy(() -> ListFiles.read(found, manifest, BOUNDS, null)).hasMessageContaining(told);
+        ListFiles.ManifestFile found = ListFiles.loadManifest(file);
+        ListFiles.Manifest manifest = ListFiles.parseManifest(file, found.bytes());
+        assertThatThrownBy(() -> ListFiles.readList(found, manifest, BOUNDS, null)).hasMessageContaining(told);
         ListFiles.Bounds small = new ListFiles.Bounds(100_000, 5, 3);
-        assertThatThrownBy(() -> ListFiles.read(found, manifest, small, null)).hasMessageContaining("larger than 100000 bytes");
+        assertThatThrownBy(() -> ListFiles.readList(found, manifest, small, null)).hasMessageContaining("larger than 100000 bytes");
     }
 
-    @Test void aPartOfAnotherManifestIsAFault() throws Exception {
+    @Test void aPartOfAnotherManifestIsInvalid() throws Exception {
         Files.writeString(folder.resolve("a"), HEAD + endpoint("") + "{\"end\":1}");
-        String sum = ListFiles.sum(Files.readAllBytes(folder.resolve("a")));
+        String sum = ListFiles.sha256Hex(Files.readAllBytes(folder.resolve("a")));
         for (String said : List.of(sum, "0".repeat(64))) {
             Path manifest = folder.resolve("manifest");
             Files.write(manifest, ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part("a", said)))));
-            ListFiles.Found found = ListFiles.find(manifest);
-            Throwable thrown = catchThrowable(() -> ListFiles.read(found, ListFiles.manifest(manifest, found.bytes()), BOUNDS, null));
+            ListFiles.ManifestFile found = ListFiles.loadManifest(manifest);
+            Throwable thrown = catchThrowable(() -> ListFiles.readList(found, ListFiles.parseManifest(manifest, found.bytes()), BOUNDS, null));
             assertThat(thrown == null).isEqualTo(said.equals(sum));
         }
-        assertThatThrownBy(() -> ListFiles.find(folder.resolve("absent"))).hasMessageEndingWith("no such file");
+        assertThatThrownBy(() -> ListFiles.loadManifest(folder.resolve("absent"))).hasMessageEndingWith("no such file");
     }
 }
--- a/lists/src/test/java/wrenreach/lists/ListGuardTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListGuardTest.java
@@ -16,48 +16,48 @@
         return verdict instanceof ListGuard.HeldBack held ? held.reasons() : List.of();
     }
 
-    private static Generation many(int from, int to) {
+    private static Generation endpoints(int from, int to) {
         return list(IntStream.range(from, to).mapToObj(i -> "1/e" + i + "@n").collect(Collectors.joining(" ")));
     }
 
-    @Test void aListThatEmptiesADestinationWaitsForItsOwnConfirmation() {
+    @Test void aListThatEmptiesADestinationNeedsItsOwnConfirmation() {
         Generation next = list("1/a@n 1/b@s 1/e@n 1/f@s 2/d@s!");
         assertThat(reasons(guard.judge(next, "", 0)))
                 .containsExactly("destination 2 would lose all of its 2 endpoints");
         assertThat(guard.judge(next, "another", 0)).isInstanceOf(ListGuard.HeldBack.class);
         assertThat(guard.inForce().label()).isEqualTo("1/a@n 1/b@s 2/c@n 2/d@s");
-        assertThat(guard.judge(next, next.print(), 0)).isEqualTo(new ListGuard.Accepted(true));
-        assertThat(guard.judge(next, "", 0)).isEqualTo(new ListGuard.Same());
+        assertThat(guard.judge(next, next.fingerprint(), 0)).isEqualTo(new ListGuard.Accepted(true));
+        assertThat(guard.judge(next, "", 0)).isEqualTo(new ListGuard.Unchanged());
     }
 
-    @Test void aListThatTakesMostOfAZoneAwayIsHeldBack() {
+    @Test void aListThatRemovesMostOfAZoneIsHeldBack() {
         assertThat(reasons(guard.judge(list("1/b@s 2/d@s"), "", 0)))
                 .containsExactly("zone n would lose 2 of 2 endpoints, at most 50% may go");
         assertThat(guard.judge(list("1/a@n 1/b@s 2/d@s"), "", 0)).isEqualTo(new ListGuard.Accepted(false));
     }
 
     /** Guards against a writer that drops a few with every list: small steps count together while they are new. */
-    @Test void smallStepsCountTogetherUntilTheWindowHasPassed() {
-        ListGuard many = new ListGuard(new ListGuard.Limits(0.5, WINDOW), many(0, 100));
+    @Test void smallRemovalsAddUpWithinTheWindow() {
+        ListGuard many = new ListGuard(new ListGuard.Limits(0.5, WINDOW), endpoints(0, 100));
         for (int gone = 10; gone <= 50; gone += 10) {
-            assertThat(many.judge(many(gone, 100), "", gone)).isEqualTo(new ListGuard.Accepted(false));
+            assertThat(many.judge(endpoints(gone, 100), "", gone)).isEqualTo(new ListGuard.Accepted(false));
         }
-        assertThat(reasons(many.judge(many(60, 100), "", 60)))
+        assertThat(reasons(many.judge(endpoints(60, 100), "", 60)))
                 .containsExactly("zone n would lose 60 of 100 endpoints, at most 50% may go");
-        assertThat(many.judge(many(60, 100), "", WINDOW + 50)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(many.judge(endpoints(60, 100), "", WINDOW + 50)).isEqualTo(new ListGuard.Accepted(false));
     }
 
-    @Test void whatComesBackDoesNotCountAndWhatWasConfirmedIsTheNewMeasure() {
-        ListGuard many = new ListGuard(new ListGuard.Limits(0.5, WINDOW), many(0, 100));
-        assertThat(many.judge(many(50, 100), "", 1)).isEqualTo(new ListGuard.Accepted(false));
-        assertThat(many.judge(many(0, 100), "", 2)).isEqualTo(new ListGuard.Accepted(false));
-        assertThat(many.judge(many(40, 100), "", 3)).isEqualTo(new ListGuard.Accepted(false));
-        Generation few = many(90, 100);
-        assertThat(many.judge(few, few.print(), 4)).isEqualTo(new ListGuard.Accepted(true));
-        assertThat(many.judge(many(95, 100), "", 5)).isEqualTo(new ListGuard.Accepted(false));
+    @Test void returnedEndpointsDoNotCountAndAConfirmedListIsTheNewBaseline() {
+        ListGuard many = new ListGuard(new ListGuard.Limits(0.5, WINDOW), endpoints(0, 100));
+        assertThat(many.judge(endpoints(50, 100), "", 1)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(many.judge(endpoints(0, 100), "", 2)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(many.judge(endpoints(40, 100), "", 3)).isEqualTo(new ListGuard.Accepted(false));
+        Generation few = endpoints(90, 100);
+        assertThat(many.judge(few, few.fingerprint(), 4)).isEqualTo(new ListGuard.Accepted(true));
+        assertThat(many.judge(endpoints(95, 100), "", 5)).isEqualTo(new ListGuard.Accepted(false));
     }
 
-    @Test void theFirstListIsTakenUnlessItIsEmptyAndReasonsAreFew() {
+    @Test void theFirstListIsAcceptedUnlessEmptyAndReasonsAreLimited() {
         ListGuard first = new ListGuard(new ListGuard.Limits(0, 0), null);
         assertThat(reasons(first.judge(list("1/a@n!"), "", 0))).containsExactly("it names no endpoint that serves");
         String all = IntStream.range(0, 20).mapToObj(i -> i + "/e@z" + i).collect(Collectors.joining(" "));
--- a/lists/src/test/java/wrenreach/lists/Lists.java
+++ b/lists/src/test/java/wrenreach/lists/Lists.java
@@ -12,7 +12,7 @@
         boolean drains = word.endsWith("!");
         String[] parts = word.replace("!", "").split("[/@]");
         int destination = Integer.parseInt(parts[0]);
-        return new ListUpdate.Entry(Generation.id(destination, parts[1]), "127.0.0.1:9", parts[2], "small", destination,
+        return new ListUpdate.Entry(Generation.idOf(destination, parts[1]), "127.0.0.1:9", parts[2], "small", destination,
                 drains ? Generation.DRAINING : Generation.SERVING, 1);
     }
 
--- a/lists/src/test/java/wrenreach/lists/ListsBench.java
+++ b/lists/src/test/java/wrenreach/lists/ListsBench.java
@@ -24,25 +24,25 @@
     public static void main(String[] args) throws Exception {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Path folder = Files.createTempDirectory("lists");
-        fromRenameToFirstMail(folder.resolve("small"), Integer.parseInt(args[0]));
-        large(folder.resolve("large"), Integer.parseInt(args[1]), Integer.parseInt(args[2]));
+        renameToFirstMail(folder.resolve("small"), Integer.parseInt(args[0]));
+        largeLists(folder.resolve("large"), Integer.parseInt(args[1]), Integer.parseInt(args[2]));
         System.exit(0);
     }
 
     /** From the manifest's rename to the first mail that goes to an endpoint of the new list alone, under load. */
-    private static void fromRenameToFirstMail(Path folder, int rounds) throws Exception {
+    private static void renameToFirstMail(Path folder, int rounds) throws Exception {
         Files.createDirectories(folder);
         long[] micros = new long[rounds];
         try (Loopback all = new Loopback(folder, 2, 0, Loopback.section(folder, 1, 10_000))) {
             int mail = 0;
             for (int i = 0; i < rounds; i++) {
                 int to = (i + 1) % 2;
-                long renamed = all.put("list " + i, List.of(to));
+                long renamed = all.publish("list " + i, List.of(to));
                 long first = Long.MAX_VALUE;
                 while (first == Long.MAX_VALUE) {
-                    all.handIn("m" + mail++);
-                    for (Loopback.Came call = all.calls.poll(); call != null; call = all.calls.poll()) {
-                        first = call.receiver() == to && call.at() > renamed ? Math.min(first, call.at()) : first;
+                    all.submit("m" + mail++);
+                    for (Loopback.ReceivedCall call = all.calls.poll(); call != null; call = all.calls.poll()) {
+                        first = call.receiver() == to && call.receivedAt() > renamed ? Math.min(first, call.receivedAt()) : first;
                     }
                 }
                 micros[i] = (first - renamed) / 1000;
@@ -61,7 +61,7 @@
         Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
         for (int i = without; i < endpoints; i++) {
             int destination = 1 + i % destinations;
-            String id = Generation.id(destination, "server-" + i);
+            String id = Generation.idOf(destination, "server-" + i);
             entries.put(id, new ListUpdate.Entry(id, "127.1." + i / 250 % 250 + "." + (1 + i % 250) + ":8080", "zone-" + i % 7,
                     "small", destination, Generation.SERVING, 10));
         }
@@ -70,7 +70,7 @@
         return out.toByteArray();
     }
 
-    private static long heap() throws InterruptedException {
+    private static long usedHeapKb() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             System.gc();
             TimeUnit.MILLISECONDS.sleep(50);
@@ -78,7 +78,7 @@
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 10;
     }
 
-    private static void large(Path folder, int endpoints, int destinations) throws Exception {
+    private static void largeLists(Path folder, int endpoints, int destinations) throws Exception {
         Files.createDirectories(folder);
         try (Loopback all = new Loopback(folder, 1, 0, Loopback.section(folder, 1, 10_000))) {
             AtomicLong longest = new AtomicLong();
@@ -87,19 +87,19 @@
                 long now = System.nanoTime();
                 longest.accumulateAndGet(now - before.getAndSet(now), Math::max);
             }, 1, 1, TimeUnit.MILLISECONDS);
-            long small = heap();
+            long small = usedHeapKb();
             String[] steps = {"all new", "1 of 100 left out", "all but 1 of 100 back", "the same again"};
             for (int step = 0; step < steps.length; step++) {
                 byte[] part = part(endpoints, destinations, step % 2 == 1 && step < 3 ? endpoints / 100 : 0);
-                ListFiles.replace(folder.resolve("part"), part);
+                ListFiles.replaceAtomically(folder.resolve("part"), part);
                 byte[] manifest = ListFiles.write(new ListFiles.Manifest("large " + step, "",
-                        List.of(new ListFiles.Part("part", ListFiles.sum(part)))));
+                        List.of(new ListFiles.Part("part", ListFiles.sha256Hex(part)))));
                 longest.set(0);
-                long accepted = all.status().accepted();
+                long accepted = all.status().acceptedCount();
                 long at = System.nanoTime();
-                ListFiles.replace(folder.resolve("manifest.json"), manifest);
+                ListFiles.replaceAtomically(folder.resolve("manifest.json"), manifest);
                 boolean same = step == steps.length - 1;
-                while (!same && all.status().accepted() == accepted) {
+                while (!same && all.status().acceptedCount() == accepted) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
                 all.node.loop().submit(() -> { }).sync();
@@ -109,7 +109,7 @@
                         + "longest gap of the loop %d ms%n", endpoints, destinations, part.length / 1e6, steps[step], taken,
                         longest.get() / 1_000_000);
             }
-            System.out.printf("heap: %d KB more than with one endpoint%n", heap() - small);
+            System.out.printf("heap: %d KB more than with one endpoint%n", usedHeapKb() - small);
         }
     }
 }
--- a/lists/src/test/java/wrenreach/lists/ListsOnLoopbackTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListsOnLoopbackTest.java
@@ -16,7 +16,7 @@
 class ListsOnLoopbackTest {
     @TempDir Path folder;
 
-    private static void until(Loopback all, String label) throws Exception {
+    private static void awaitLabel(Loopback all, String label) throws Exception {
         for (int i = 0; i < 2000 && !all.status().label().equals(label); i++) {
             Thread.sleep(5);
         }
@@ -27,29 +27,29 @@
      * Guards the rule on drains: with mails under way a list without one endpoint comes. Half a second after the node
      * read it no byte goes there any more, calls that are out end, and no mail is lost or sent twice.
      */
-    @Test void anEndpointThatAListLeavesOutIsDrainedAndNothingIsLost() throws Exception {
+    @Test void anEndpointMissingFromANewListIsDrainedWithoutLoss() throws Exception {
         List<String> taken = new ArrayList<>();
         try (Loopback all = new Loopback(folder, 3, 5, Loopback.section(folder, 0.5, 300_000))) {
             for (int i = 0; i < 400; i++) {
                 if (i == 100) {
-                    all.put("without r1", List.of(0, 2));
+                    all.publish("without r1", List.of(0, 2));
                 }
-                if (all.handIn("m" + i).startsWith("+OK")) {
+                if (all.submit("m" + i).startsWith("+OK")) {
                     taken.add("m" + i);
                 }
             }
-            until(all, "without r1");
+            awaitLabel(all, "without r1");
             TimeUnit.MILLISECONDS.sleep(500);
             long before = all.calls.stream().filter(call -> call.receiver() == 1).count();
             for (int i = 400; i < 600; i++) {
-                if (all.handIn("m" + i).startsWith("+OK")) {
+                if (all.submit("m" + i).startsWith("+OK")) {
                     taken.add("m" + i);
                 }
             }
             all.node.stop();
             assertThat(all.node.stopped().get(20, TimeUnit.SECONDS)).isZero();
             assertThat(all.calls.stream().filter(call -> call.receiver() == 1).count()).isEqualTo(before).isPositive();
-            List<String> got = all.calls.stream().map(Loopback.Came::mail).toList();
+            List<String> got = all.calls.stream().map(Loopback.ReceivedCall::mail).toList();
             assertThat(got).doesNotHaveDuplicates().containsExactlyInAnyOrderElementsOf(taken);
             assertThat(all.notices).isEmpty();
         }
@@ -59,19 +59,19 @@
     }
 
     /** Guards mails under a stream of new lists: each turn takes one whole list, and none of them costs a mail. */
-    @Test void aStreamOfNewListsLosesNothing() throws Exception {
+    @Test void frequentNewListsLoseNoMail() throws Exception {
         Set<String> taken = new HashSet<>();
         try (Loopback all = new Loopback(folder, 4, 1, Loopback.section(folder, 1, 20_000))) {
             for (int i = 0; i < 600; i++) {
                 if (i % 10 == 0) {
-                    all.put("list " + i, List.of(i / 10 % 4, (i / 10 + 1) % 4));
+                    all.publish("list " + i, List.of(i / 10 % 4, (i / 10 + 1) % 4));
                 }
-                if (all.handIn("m" + i).startsWith("+OK")) {
+                if (all.submit("m" + i).startsWith("+OK")) {
                     taken.add("m" + i);
                 }
             }
-            until(all, "list 590");
-            assertThat(all.handIn("last")).startsWith("+OK");
+            awaitLabel(all, "list 590");
+            assertThat(all.submit("last")).startsWith("+OK");
             taken.add("last");
             all.node.stop();
             assertThat(all.node.stopped().get(20, TimeUnit.SECONDS)).isZero();
@@ -79,7 +79,7 @@
             all.calls.forEach(call -> got.add(call.mail()));
             assertThat(got).isEqualTo(taken);
             assertThat(all.notices).isEmpty();
-            assertThat(all.status().accepted()).isGreaterThan(10);
+            assertThat(all.status().acceptedCount()).isGreaterThan(10);
         }
         assertThat(taken).hasSizeGreaterThan(500);
     }
--- a/lists/src/test/java/wrenreach/lists/Loopback.java
+++ b/lists/src/test/java/wrenreach/lists/Loopback.java
@@ -28,9 +28,9 @@
 /** A node with watched lists among receivers, a platform and a client of the project's own, all on loopback. */
 final class Loopback implements Closeable {
     /** One call that came: which mail, where, and when its first byte was read (nanoTime). */
-    record Came(String mail, int receiver, long at) { }
+    record ReceivedCall(String mail, int receiver, long receivedAt) { }
 
-    final Queue<Came> calls = new ConcurrentLinkedQueue<>();
+    final Queue<ReceivedCall> calls = new ConcurrentLinkedQueue<>();
     final Queue<String> notices = new ConcurrentLinkedQueue<>();
     final Path folder;
     final DeliveryNode node;
@@ -42,7 +42,7 @@
     /** answerAfterMs: how long a receiver takes. The first list names all receivers as r0, r1... of destination 1. */
     Loopback(Path folder, int count, int answerAfterMs, ListsSection section) throws Exception {
         this.folder = folder;
-        platform = serve();
+        platform = newServer();
         platform.createContext("/", exchange -> {
             String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
             boolean notice = exchange.getRequestURI().getPath().equals("/v2/finals");
@@ -55,9 +55,9 @@
         platform.start();
         for (int i = 0; i < count; i++) {
             int number = i;
-            HttpServer receiver = serve();
+            HttpServer receiver = newServer();
             receiver.createContext("/", exchange -> {
-                calls.add(new Came(exchange.getRequestHeaders().getFirst("X-Call-Id"), number, System.nanoTime()));
+                calls.add(new ReceivedCall(exchange.getRequestHeaders().getFirst("X-Call-Id"), number, System.nanoTime()));
                 exchange.getRequestBody().readAllBytes();
                 try {
                     Thread.sleep(answerAfterMs);
@@ -74,7 +74,7 @@
         for (int i = 0; i < count; i++) {
             all.add(i);
         }
-        put("first", all);
+        publish("first", all);
         String json = Files.readString(Path.of("deploy/sample.json")).replace("127.0.0.1:9",
                 "127.0.0.1:" + platform.getAddress().getPort());
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
@@ -93,32 +93,32 @@
                 5_000_000, 1_000_000, 1 << 28, 1_000_000, 4096);
     }
 
-    private HttpServer serve() throws IOException {
+    private HttpServer newServer() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(threads);
         return server;
     }
 
     /** Puts a list of these receivers in place; when the manifest's name was replaced (nanoTime). */
-    long put(String label, List<Integer> which) throws Exception {
+    long publish(String label, List<Integer> which) throws Exception {
         Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
         for (int i : which) {
-            String id = Generation.id(1, "r" + i);
+            String id = Generation.idOf(1, "r" + i);
             entries.put(id, new ListUpdate.Entry(id, "127.0.0.1:" + receivers.get(i).getAddress().getPort(), "home", "small",
                     1, Generation.SERVING, 1000));
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ListFiles.write(out, new Generation("", label, entries));
-        ListFiles.replace(folder.resolve("part"), out.toByteArray());
+        ListFiles.replaceAtomically(folder.resolve("part"), out.toByteArray());
         byte[] manifest = ListFiles.write(new ListFiles.Manifest(label, "",
-                List.of(new ListFiles.Part("part", ListFiles.sum(out.toByteArray())))));
+                List.of(new ListFiles.Part("part", ListFiles.sha256Hex(out.toByteArray())))));
         long at = System.nanoTime();
-        ListFiles.replace(folder.resolve("manifest.json"), manifest);
+        ListFiles.replaceAtomically(folder.resolve("manifest.json"), manifest);
         return at;
     }
 
     /** Hands in a mail; what the node answers. */
-    String handIn(String id) throws IOException {
+    String submit(String id) throws IOException {
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", "k" + id, id, "c=order,t=shop,d=15000,k=t" + id + ",dest=1", "body")) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
--- a/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
+++ b/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
@@ -42,7 +42,7 @@
     @TempDir Path folder;
     private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
     /** What the module would know after each line, as the names of the endpoints that serve. */
-    private final LinkedBlockingQueue<Set<String>> pictures = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Set<String>> servingSets = new LinkedBlockingQueue<>();
     private final Map<String, ListUpdate.Entry> known = new HashMap<>();
     private final NodeContext host = new NodeContext() {
         @Override public String name() {
@@ -71,7 +71,7 @@
             for (ListUpdate.Entry entry : line.entries()) {
                 known.put(entry.name(), entry);
             }
-            pictures.add(known.values().stream().filter(Generation::serves).map(e -> Generation.name(e.name()))
+            servingSets.add(known.values().stream().filter(Generation::isServing).map(e -> Generation.nameOf(e.name()))
                     .collect(Collectors.toSet()));
         }
 
@@ -114,32 +114,32 @@
 
     private static byte[] manifest(String label, String confirm, Map<String, byte[]> parts) throws IOException {
         return ListFiles.write(new ListFiles.Manifest(label, confirm, parts.entrySet().stream().sorted(Map.Entry.comparingByKey())
-                .map(e -> new ListFiles.Part(e.getKey(), ListFiles.sum(e.getValue()))).toList()));
+                .map(e -> new ListFiles.Part(e.getKey(), ListFiles.sha256Hex(e.getValue()))).toList()));
     }
 
-    private String put(String label, String confirm, String... names) throws Exception {
+    private String publish(String label, String confirm, String... names) throws Exception {
         byte[] part = part(names);
-        ListFiles.replace(folder.resolve("part"), part);
+        ListFiles.replaceAtomically(folder.resolve("part"), part);
         byte[] manifest = manifest(label, confirm, Map.of("part", part));
-        ListFiles.replace(manifest(), manifest);
-        return ListFiles.manifest(manifest(), manifest).print();
+        ListFiles.replaceAtomically(manifest(), manifest);
+        return ListFiles.parseManifest(manifest(), manifest).fingerprint();
     }
 
-    private void until(String... names) throws InterruptedException {
+    private void awaitServing(String... names) throws InterruptedException {
         Set<String> wanted = Set.of(names);
         Set<String> last = null;
         do {
-            last = pictures.poll(20, TimeUnit.SECONDS);
+            last = servingSets.poll(20, TimeUnit.SECONDS);
             assertThat(last).as("waiting for " + wanted).isNotNull();
             seen.add(last);
         } while (!last.equals(wanted));
     }
 
-    private Status status(java.util.function.Predicate<Status> wanted) throws Exception {
+    private Status awaitStatus(java.util.function.Predicate<Status> wanted) throws Exception {
         Status last = null;
         for (int i = 0; i < 1000 && (last == null || !wanted.test(last)); i++) {
             Thread.sleep(10);
-            last = Files.exists(kept().resolve(Status.FILE)) ? Status.read(kept()) : null;
+            last = Files.exists(kept().resolve(Status.FILE_NAME)) ? Status.read(kept()) : null;
         }
         assertThat(last).matches(wanted);
         return last;
@@ -158,10 +158,10 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void besideATearingWriterEachListInForceIsOneGenerationWrittenWhole(long seed) throws Exception {
+    void partialWritesNeverYieldAMixedList(long seed) throws Exception {
         Random random = new Random(seed);
         start(1);
-        until();
+        awaitServing();
         Set<Set<String>> written = new HashSet<>();
         for (int g = 0; g < 2000; g++) {
             String[] north = {"g" + g + "-a", "g" + g + "-b"};
@@ -176,7 +176,7 @@
                         Files.write(file, Arrays.copyOf(bytes, bytes.length / 2));
                         Files.write(file, bytes);
                     }
-                    default -> ListFiles.replace(file, bytes);
+                    default -> ListFiles.replaceAtomically(file, bytes);
                 }
                 if (random.nextInt(50) == 0) {
                     Files.deleteIfExists(file);
@@ -184,55 +184,55 @@
             }
             written.add(Set.of(north[0], north[1], south[0]));
             if (g % 100 == 99) {
-                put("whole " + g, "", "whole-" + g);
-                until("whole-" + g);
+                publish("whole " + g, "", "whole-" + g);
+                awaitServing("whole-" + g);
                 written.add(Set.of("whole-" + g));
             }
         }
-        String last = put("last", "", "end");
-        until("end");
-        status(s -> s.label().equals("last"));
-        assertThat(ListFiles.reread(kept().resolve(WatchedLists.KEPT), section(1).bounds()).print()).isEqualTo(last);
+        String last = publish("last", "", "end");
+        awaitServing("end");
+        awaitStatus(s -> s.label().equals("last"));
+        assertThat(ListFiles.readStored(kept().resolve(WatchedLists.IN_FORCE_FILE), section(1).bounds()).fingerprint()).isEqualTo(last);
         written.add(Set.of("end"));
         written.add(Set.of());
         assertThat(written).containsAll(seen);
         assertThat(seen).contains(Set.of("whole-99"), Set.of("whole-1999"));
     }
 
-    @Test void whatIsHeldBackIsShownAndTakenOnceConfirmed() throws Exception {
-        put("both", "", "a", "b", "c");
+    @Test void aHeldBackListIsShownAndAppliedOnceConfirmed() throws Exception {
+        publish("both", "", "a", "b", "c");
         start(0.5);
-        until("a", "b", "c");
-        String print = put("one left", "", "a");
-        assertThat(status(s -> !s.heldPrint().isEmpty()).heldPrint()).isEqualTo(print);
+        awaitServing("a", "b", "c");
+        String print = publish("one left", "", "a");
+        assertThat(awaitStatus(s -> !s.heldFingerprint().isEmpty()).heldFingerprint()).isEqualTo(print);
         assertThat(command(1, "status", kept().toString())).contains("in force: ").contains("\"both\", 3 endpoints")
                 .contains("held back: " + print + " \"one left\"")
                 .contains("zone n would lose 2 of 3 endpoints, at most 50% may go");
-        put("one left", "000000000000", "a");
-        put("one left", print, "a");
-        until("a");
+        publish("one left", "000000000000", "a");
+        publish("one left", print, "a");
+        awaitServing("a");
         assertThat(seen).isSubsetOf(Set.of(), Set.of("a", "b", "c"), Set.of("a"));
         // The status is written after the node has heard of the list.
-        status(s -> s.label().equals("one left") && s.heldPrint().isEmpty());
+        awaitStatus(s -> s.label().equals("one left") && s.heldFingerprint().isEmpty());
         assertThat(command(0, "status", kept().toString())).contains("\"one left\", 1 endpoints").doesNotContain("held");
     }
 
-    @Test void afterARestartTheListInForceStaysWhileTheFilesAreFaulty() throws Exception {
-        put("good", "", "a", "b");
+    @Test void afterARestartTheListInForceStaysWhileTheFilesAreInvalid() throws Exception {
+        publish("good", "", "a", "b");
         start(0.5);
-        until("a", "b");
+        awaitServing("a", "b");
         lists.stopped();
         Files.writeString(manifest(), "{");
         start(0.5);
-        until("a", "b");
-        assertThat(status(s -> !s.fault().isEmpty()).fault()).contains("manifest.json:1: can't be read as JSON");
+        awaitServing("a", "b");
+        assertThat(awaitStatus(s -> !s.fault().isEmpty()).fault()).contains("manifest.json:1: can't be read as JSON");
         assertThat(command(1, "status", kept().toString())).contains("can't be read since");
-        put("next", "", "a", "b", "c");
-        until("a", "b", "c");
-        assertThat(status(Status::quiet).label()).isEqualTo("next");
+        publish("next", "", "a", "b", "c");
+        awaitServing("a", "b", "c");
+        assertThat(awaitStatus(Status::isHealthy).label()).isEqualTo("next");
     }
 
-    @Test void aFlippedLinkASameTimeStampAndAFileGoneAndBackAreSeen() throws Exception {
+    @Test void changedLinksEqualTimestampsAndRecreatedFilesAreNoticed() throws Exception {
         Path one = Files.createDirectory(folder.resolve("one"));
         Path two = Files.createDirectory(folder.resolve("two"));
         for (Path at : List.of(one, two)) {
@@ -243,9 +243,9 @@
         Path current = Files.createSymbolicLink(folder.resolve("current"), one);
         Files.createSymbolicLink(manifest(), Path.of("current", "manifest.json"));
         start(1);
-        until("one");
+        awaitServing("one");
         Files.move(Files.createSymbolicLink(folder.resolve("next"), two), current, StandardCopyOption.ATOMIC_MOVE);
-        until("two");
+        awaitServing("two");
         // The same time stamp and length: content tells.
         FileTime stamp = Files.getLastModifiedTime(two.resolve("manifest.json"));
         byte[] part = part("six");
@@ -253,15 +253,15 @@
         Path next = Files.write(two.resolve("next"), manifest("l", "", Map.of("part", part)));
         Files.setLastModifiedTime(next, stamp);
         Files.move(next, two.resolve("manifest.json"), StandardCopyOption.ATOMIC_MOVE);
-        until("six");
+        awaitServing("six");
         Files.delete(two.resolve("manifest.json"));
-        status(s -> s.fault().endsWith("no such file"));
+        awaitStatus(s -> s.fault().endsWith("no such file"));
         Files.write(two.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
-        status(Status::quiet);
-        assertThat(pictures).allMatch(picture -> picture.equals(Set.of("six")));
+        awaitStatus(Status::isHealthy);
+        assertThat(servingSets).allMatch(picture -> picture.equals(Set.of("six")));
     }
 
-    @Test void theCommandsMakeCheckAndRefuse() throws Exception {
+    @Test void commandsMakeCheckAndReportErrors() throws Exception {
         Files.write(folder.resolve("north"), part("a", "b"));
         Files.write(folder.resolve("south"), part("c"));
         String manifest = manifest().toString();
@@ -275,9 +275,9 @@
         assertThat(command(2, "status", folder.resolve("absent").toString())).contains("NoSuchFile");
     }
 
-    @Test void aKeptListThatIsTornStopsTheStart() throws Exception {
+    @Test void aTruncatedStoredListPreventsTheStart() throws Exception {
         Files.createDirectories(kept());
-        Files.write(kept().resolve(WatchedLists.KEPT), Arrays.copyOf(part("a"), 50));
+        Files.write(kept().resolve(WatchedLists.IN_FORCE_FILE), Arrays.copyOf(part("a"), 50));
         assertThatThrownBy(() -> new WatchedLists(section(1), host)).isInstanceOf(Subsystem.StartException.class)
                 .hasMessageContaining("the list kept can't be read");
         Path file = Files.writeString(folder.resolve("file"), "");
--- a/relay/src/main/java/wrenreach/relay/LinkDirection.java
+++ b/relay/src/main/java/wrenreach/relay/LinkDirection.java
@@ -10,28 +10,28 @@
  * below 1.
  */
 public final class LinkDirection {
-    private static final double MS = 1_000_000, SECOND = 1_000_000_000;
+    private static final double NANOS_PER_MS = 1_000_000, NANOS_PER_SECOND = 1_000_000_000;
 
-    private final List<Impairment> troubles = new ArrayList<>(1);
+    private final List<Impairment> impairments = new ArrayList<>(1);
     private boolean isTruncating;
 
     /** From now on this is wrong too. */
     public void begin(Impairment trouble) {
-        troubles.add(trouble);
+        impairments.add(trouble);
     }
 
     /** This one is over; what is equal to it and still goes on stays. */
     public void end(Impairment trouble) {
-        troubles.remove(trouble);
+        impairments.remove(trouble);
         isTruncating &= has(Impairment.Kind.HALF);
     }
 
     public boolean isHealthy() {
-        return troubles.isEmpty();
+        return impairments.isEmpty();
     }
 
     private boolean has(Impairment.Kind kind) {
-        for (Impairment trouble : troubles) {
+        for (Impairment trouble : impairments) {
             if (trouble.kind() == kind) {
                 return true;
             }
@@ -64,9 +64,9 @@
     /** How much later than without troubles something comes that is sent now, in nanoseconds. */
     public long delayNanos(DoubleSupplier chance) {
         double delay = 0;
-        for (Impairment trouble : troubles) {
+        for (Impairment trouble : impairments) {
             if (trouble.kind() == Impairment.Kind.DELAY) {
-                delay += MS * (trouble.figure() + trouble.more() * chance.getAsDouble());
+                delay += NANOS_PER_MS * (trouble.figure() + trouble.more() * chance.getAsDouble());
             }
         }
         return (long) delay;
@@ -75,9 +75,9 @@
     /** The time that so many bytes take, in nanoseconds. */
     public long transferNanos(int bytes) {
         double longest = 0;
-        for (Impairment trouble : troubles) {
+        for (Impairment trouble : impairments) {
             if (trouble.kind() == Impairment.Kind.RATE) {
-                longest = Math.max(longest, SECOND * bytes / trouble.figure());
+                longest = Math.max(longest, NANOS_PER_SECOND * bytes / trouble.figure());
             }
         }
         return (long) longest;
@@ -87,7 +87,7 @@
     public int copies(DoubleSupplier chance) {
         boolean lost = isCut() || isTruncating;
         boolean doubled = false;
-        for (Impairment trouble : troubles) {
+        for (Impairment trouble : impairments) {
             lost |= trouble.kind() == Impairment.Kind.LOSS && chance.getAsDouble() < trouble.figure();
             doubled |= trouble.kind() == Impairment.Kind.DOUBLING && chance.getAsDouble() < trouble.figure();
         }
@@ -97,9 +97,9 @@
     /** How much later a datagram comes because others overtake it, in nanoseconds. */
     public long reorderingDelayNanos(DoubleSupplier chance) {
         double late = 0;
-        for (Impairment trouble : troubles) {
+        for (Impairment trouble : impairments) {
             if (trouble.kind() == Impairment.Kind.REORDERING && chance.getAsDouble() < trouble.figure()) {
-                late += MS * trouble.more() * chance.getAsDouble();
+                late += NANOS_PER_MS * trouble.more() * chance.getAsDouble();
             }
         }
         return (long) late;
--- a/relay/src/main/java/wrenreach/relay/TcpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/TcpRelay.java
@@ -38,28 +38,28 @@
 public final class TcpRelay {
     /** Bytes of one way of one connection that are read before they may go on. */
     public static final int BUFFER_BYTES = 1 << 20;
-    private static final int CONNECT_MS = 1000, FILLS = 4, TRIES = 400;
-    private static final long TRY_AGAIN = 5_000_000;
+    private static final int TCP_CONNECT_TIMEOUT_MS = 1000, BACKLOG_FILLERS = 4, MAX_LISTEN_RETRIES = 400;
+    private static final long LISTEN_RETRY_NANOS = 5_000_000;
 
-    private enum Mode { CLOSED, OPEN, WALL }
+    private enum Mode { CLOSED, OPEN, UNRESPONSIVE }
 
     private final EventLoop loop;
-    private final InetSocketAddress at;
-    private final InetSocketAddress own;
-    private final InetSocketAddress to;
-    private final LinkDirection there;
-    private final LinkDirection back;
-    private final DoubleSupplier chance;
-    private final Consumer<String> failed;
-    private final Set<Pair> pairs = new LinkedHashSet<>();
-    private final List<SocketChannel> fills = new ArrayList<>();
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress sourceAddress;
+    private final InetSocketAddress targetAddress;
+    private final LinkDirection forward;
+    private final LinkDirection reverse;
+    private final DoubleSupplier random;
+    private final Consumer<String> errorHandler;
+    private final Set<RelayedConnection> connections = new LinkedHashSet<>();
+    private final List<SocketChannel> backlogFillers = new ArrayList<>();
     private Mode mode = Mode.CLOSED;
     private Channel listener;
-    private ServerSocketChannel wall;
-    private boolean shifting;
+    private ServerSocketChannel unresponsiveListener;
+    private boolean switching;
     private boolean targetUp = true;
-    private boolean dead = true;
-    private int refusals;
+    private boolean stopped = true;
+    private int listenFailures;
     private long opened;
 
     /**
@@ -69,13 +69,13 @@
     public TcpRelay(EventLoop loop, InetSocketAddress at, InetSocketAddress own, InetSocketAddress to, LinkDirection there, LinkDirection back,
                     DoubleSupplier chance, Consumer<String> failed) {
         this.loop = loop;
-        this.at = at;
-        this.own = own;
-        this.to = to;
-        this.there = there;
-        this.back = back;
-        this.chance = chance;
-        this.failed = failed;
+        this.listenAddress = at;
+        this.sourceAddress = own;
+        this.targetAddress = to;
+        this.forward = there;
+        this.reverse = back;
+        this.random = chance;
+        this.errorHandler = failed;
     }
 
     /** A listener of the family in which addresses of loopback are many. */
@@ -90,13 +90,13 @@
 
     /** It begins, or is there again after it died. */
     public void start() {
-        dead = false;
+        stopped = false;
         changed();
     }
 
     /** It is gone with all its connections, which are reset; nobody listens. */
     public void stop() {
-        dead = true;
+        stopped = true;
         reset();
         changed();
     }
@@ -109,7 +109,7 @@
 
     /** Resets every connection that passes through. */
     public void reset() {
-        List.copyOf(pairs).forEach(Pair::reset);
+        List.copyOf(connections).forEach(RelayedConnection::reset);
     }
 
     /** Connections that have come up so far. */
@@ -119,86 +119,86 @@
 
     /** Connections that pass through now. */
     public int open() {
-        return pairs.size();
+        return connections.size();
     }
 
     /** What is wrong with the ways has changed. */
     public void changed() {
-        shift();
-        List.copyOf(pairs).forEach(pair -> {
-            pair.there.drain();
-            pair.back.drain();
+        switchMode();
+        List.copyOf(connections).forEach(pair -> {
+            pair.forward.drain();
+            pair.reverse.drain();
         });
     }
 
-    private Mode wanted() {
-        if (dead || !targetUp || there.refuses() || back.refuses()) {
+    private Mode wantedMode() {
+        if (stopped || !targetUp || forward.refuses() || reverse.refuses()) {
             return Mode.CLOSED;
         }
-        return there.isCut() || back.isCut() ? Mode.WALL : Mode.OPEN;
+        return forward.isCut() || reverse.isCut() ? Mode.UNRESPONSIVE : Mode.OPEN;
     }
 
     /** Closes what listens and opens what shall; what is wanted may change meanwhile. */
-    private void shift() {
-        if (shifting || mode == wanted()) {
+    private void switchMode() {
+        if (switching || mode == wantedMode()) {
             return;
         }
         if (mode == Mode.OPEN) {
-            shifting = true;
+            switching = true;
             mode = Mode.CLOSED;
             // The machine has the address back once the loop's selector has let go of it: one look later.
-            listener.close().addListener(done -> again(0));
+            listener.close().addListener(done -> switchModeLater(0));
             return;
         }
-        if (mode == Mode.WALL) {
-            takeDownWall();
+        if (mode == Mode.UNRESPONSIVE) {
+            closeUnresponsiveListener();
             mode = Mode.CLOSED;
         }
-        if (wanted() == Mode.WALL) {
-            buildWall();
-        } else if (wanted() == Mode.OPEN) {
+        if (wantedMode() == Mode.UNRESPONSIVE) {
+            openUnresponsiveListener();
+        } else if (wantedMode() == Mode.OPEN) {
             listen();
         }
     }
 
-    private void again(long nanos) {
-        shifting = true;
+    private void switchModeLater(long nanos) {
+        switching = true;
         loop.schedule(() -> {
-            shifting = false;
-            shift();
+            switching = false;
+            switchMode();
         }, nanos, TimeUnit.NANOSECONDS);
     }
 
     /** Guards against an address that is in use for a moment more: it is tried again for a bounded time. */
-    private void refused(String what, Throwable cause) {
+    private void listenFailed(String what, Throwable cause) {
         mode = Mode.CLOSED;
-        if (++refusals > TRIES) {
-            dead = true;
-            failed.accept(what + " " + at + ": " + cause.getMessage());
+        if (++listenFailures > MAX_LISTEN_RETRIES) {
+            stopped = true;
+            errorHandler.accept(what + " " + listenAddress + ": " + cause.getMessage());
         } else {
-            again(TRY_AGAIN);
+            switchModeLater(LISTEN_RETRY_NANOS);
         }
     }
 
     private void listen() {
-        shifting = true;
+        switching = true;
         mode = Mode.OPEN;
         var binding = new ServerBootstrap().group(loop).channelFactory(TcpRelay::listener)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 512)
                 .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        connectionAccepted(channel);
                     }
-                }).bind(at);
+                }).bind(listenAddress);
         listener = binding.channel();
         binding.addListener(done -> {
-            shifting = false;
+            switching = false;
             if (!done.isSuccess()) {
-                refused("can't listen on", done.cause());
+                listenFailed("can't listen on", done.cause());
             } else {
-                refusals = 0;
-                shift();
+                listenFailures = 0;
+                switchMode();
             }
         });
     }
@@ -207,183 +207,183 @@
      * A listener whose queue is full and never emptied: the machine drops what asks for a connection, so connects neither come
      * up nor are refused.
      */
-    private void buildWall() {
+    private void openUnresponsiveListener() {
         try {
-            wall = ServerSocketChannel.open(StandardProtocolFamily.INET);
-            wall.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            wall.bind(at, 1);
-            mode = Mode.WALL;
-            for (int i = 0; i < FILLS; i++) {
+            unresponsiveListener = ServerSocketChannel.open(StandardProtocolFamily.INET);
+            unresponsiveListener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            unresponsiveListener.bind(listenAddress, 1);
+            mode = Mode.UNRESPONSIVE;
+            for (int i = 0; i < BACKLOG_FILLERS; i++) {
                 SocketChannel fill = SocketChannel.open(StandardProtocolFamily.INET);
-                fills.add(fill);
+                backlogFillers.add(fill);
                 fill.configureBlocking(false);
-                fill.connect(at);
+                fill.connect(listenAddress);
             }
-            refusals = 0;
+            listenFailures = 0;
         } catch (IOException e) {
-            takeDownWall();
-            refused("can't wall off", e);
+            closeUnresponsiveListener();
+            listenFailed("can't wall off", e);
         }
     }
 
-    private void takeDownWall() {
+    private void closeUnresponsiveListener() {
         try {
-            for (SocketChannel fill : fills) {
+            for (SocketChannel fill : backlogFillers) {
                 fill.close();
             }
-            fills.clear();
-            wall.close();
+            backlogFillers.clear();
+            unresponsiveListener.close();
         } catch (IOException e) {
-            failed.accept("can't take down the wall at " + at + ": " + e.getMessage());
+            errorHandler.accept("can't take down the wall at " + listenAddress + ": " + e.getMessage());
         }
     }
 
-    private void accepted(Channel asker) {
+    private void connectionAccepted(Channel asker) {
         opened++;
-        Pair pair = new Pair(asker);
-        pairs.add(pair);
-        asker.pipeline().addLast(pair.there);
+        RelayedConnection pair = new RelayedConnection(asker);
+        connections.add(pair);
+        asker.pipeline().addLast(pair.forward);
         new Bootstrap().group(loop).channelFactory(TcpRelay::connection).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.AUTO_READ, false).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(pair.back).localAddress(own).connect(to).addListener(done -> {
-                    pair.back.from = ((ChannelFuture) done).channel();
-                    if (done.isSuccess() && pairs.contains(pair)) {
-                        pair.there.to = pair.back.from;
-                        pair.there.from.config().setAutoRead(true);
-                        pair.back.from.config().setAutoRead(true);
-                        pair.there.drain();
+                .option(ChannelOption.AUTO_READ, false).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TCP_CONNECT_TIMEOUT_MS)
+                .handler(pair.reverse).localAddress(sourceAddress).connect(targetAddress).addListener(done -> {
+                    pair.reverse.source = ((ChannelFuture) done).channel();
+                    if (done.isSuccess() && connections.contains(pair)) {
+                        pair.forward.target = pair.reverse.source;
+                        pair.forward.source.config().setAutoRead(true);
+                        pair.reverse.source.config().setAutoRead(true);
+                        pair.forward.drain();
                     } else {
                         pair.reset();
                     }
                 });
     }
 
-    private final class Pair {
-        final Pump there;
-        final Pump back;
+    private final class RelayedConnection {
+        final Forwarder forward;
+        final Forwarder reverse;
 
-        Pair(Channel asker) {
-            there = new Pump(this, TcpRelay.this.there);
-            back = new Pump(this, TcpRelay.this.back);
-            there.from = asker;
-            back.to = asker;
+        RelayedConnection(Channel asker) {
+            forward = new Forwarder(this, TcpRelay.this.forward);
+            reverse = new Forwarder(this, TcpRelay.this.reverse);
+            forward.source = asker;
+            reverse.target = asker;
         }
 
         void reset() {
-            pairs.remove(this);
-            for (Channel one : new Channel[] {there.from, back.from}) {
+            connections.remove(this);
+            for (Channel one : new Channel[] {forward.source, reverse.source}) {
                 if (one != null && one.isOpen()) {
                     one.config().setOption(ChannelOption.SO_LINGER, 0);
                     one.close();
                 }
             }
-            there.drop();
-            back.drop();
+            forward.releaseQueue();
+            reverse.releaseQueue();
         }
     }
 
     /** What goes one way of one connection, in order. */
-    private final class Pump extends ChannelInboundHandlerAdapter {
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
         /** bytes: null where the sender has closed; first: it is the half that still goes through. */
-        private record Piece(ByteBuf bytes, long at, boolean first) { }
-
-        private final Pair pair;
-        private final LinkDirection way;
-        private final Deque<Piece> line = new ArrayDeque<>();
-        private Channel from;
-        private Channel to;
-        private long last;
-        private int held;
-        private boolean waits;
-
-        Pump(Pair pair, LinkDirection way) {
-            this.pair = pair;
-            this.way = way;
+        private record Chunk(ByteBuf bytes, long dueAt, boolean isFirstHalf) { }
+
+        private final RelayedConnection connection;
+        private final LinkDirection direction;
+        private final Deque<Chunk> queue = new ArrayDeque<>();
+        private Channel source;
+        private Channel target;
+        private long lastDueAt;
+        private int bufferedBytes;
+        private boolean drainScheduled;
+
+        Forwarder(RelayedConnection pair, LinkDirection way) {
+            this.connection = pair;
+            this.direction = way;
         }
 
         @Override public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             int size = bytes.readableBytes();
-            int passes = way.passedBytes(size);
+            int passes = direction.passedBytes(size);
             if (passes < size) {
-                add(bytes.readRetainedSlice(passes), true);
+                enqueue(bytes.readRetainedSlice(passes), true);
             }
-            add(bytes, false);
-            held += size;
-            if (held > BUFFER_BYTES) {
+            enqueue(bytes, false);
+            bufferedBytes += size;
+            if (bufferedBytes > BUFFER_BYTES) {
                 context.channel().config().setAutoRead(false);
             }
             drain();
         }
 
-        private void add(ByteBuf bytes, boolean first) {
-            long begins = Math.max(System.nanoTime() + way.delayNanos(chance), last);
-            last = begins + (bytes == null ? 0 : way.transferNanos(bytes.readableBytes()));
-            line.addLast(new Piece(bytes, last, first));
+        private void enqueue(ByteBuf bytes, boolean first) {
+            long begins = Math.max(System.nanoTime() + direction.delayNanos(random), lastDueAt);
+            lastDueAt = begins + (bytes == null ? 0 : direction.transferNanos(bytes.readableBytes()));
+            queue.addLast(new Chunk(bytes, lastDueAt, first));
         }
 
         @Override public void channelInactive(ChannelHandlerContext context) {
-            if (pairs.contains(pair)) {
-                add(null, false);
+            if (connections.contains(connection)) {
+                enqueue(null, false);
                 drain();
             }
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             // The party's side was reset: so is the other, but not across a cut.
-            if (!way.isCut()) {
-                pair.reset();
+            if (!direction.isCut()) {
+                connection.reset();
             }
         }
 
         /** Passes on what may go by now. */
         void drain() {
             boolean wrote = false;
-            while (to != null && !line.isEmpty()) {
-                Piece next = line.peekFirst();
-                long early = next.at - System.nanoTime();
-                if (way.isCut() || way.isTruncating() && !next.first) {
+            while (target != null && !queue.isEmpty()) {
+                Chunk next = queue.peekFirst();
+                long early = next.dueAt - System.nanoTime();
+                if (direction.isCut() || direction.isTruncating() && !next.isFirstHalf) {
                     break;
                 }
                 if (early > 0) {
-                    later(early);
+                    drainLater(early);
                     break;
                 }
-                line.pollFirst();
+                queue.pollFirst();
                 if (next.bytes == null) {
-                    pairs.remove(pair);
-                    to.writeAndFlush(to.alloc().buffer(0)).addListener(done -> to.close());
+                    connections.remove(connection);
+                    target.writeAndFlush(target.alloc().buffer(0)).addListener(done -> target.close());
                     return;
                 }
-                held -= next.bytes.readableBytes();
-                to.write(next.bytes);
+                bufferedBytes -= next.bytes.readableBytes();
+                target.write(next.bytes);
                 wrote = true;
             }
             if (wrote) {
-                to.flush();
+                target.flush();
             }
-            if (held < BUFFER_BYTES / 2 && from != null && to != null && !from.config().isAutoRead()) {
-                from.config().setAutoRead(true);
+            if (bufferedBytes < BUFFER_BYTES / 2 && source != null && target != null && !source.config().isAutoRead()) {
+                source.config().setAutoRead(true);
             }
         }
 
-        private void later(long nanos) {
-            if (!waits) {
-                waits = true;
+        private void drainLater(long nanos) {
+            if (!drainScheduled) {
+                drainScheduled = true;
                 loop.schedule(() -> {
-                    waits = false;
+                    drainScheduled = false;
                     drain();
                 }, nanos, TimeUnit.NANOSECONDS);
             }
         }
 
-        void drop() {
-            line.forEach(piece -> {
+        void releaseQueue() {
+            queue.forEach(piece -> {
                 if (piece.bytes != null) {
                     piece.bytes.release();
                 }
             });
-            line.clear();
+            queue.clear();
         }
     }
 }
--- a/relay/src/main/java/wrenreach/relay/UdpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/UdpRelay.java
@@ -22,20 +22,20 @@
 public final class UdpRelay {
     /** Datagrams of both ways that are held at once. */
     public static final int MAX_QUEUED_DATAGRAMS = 4096;
-    private static final int LONGEST = 65_535;
+    private static final int MAX_DATAGRAM_BYTES = 65_535;
 
     /** One party: where it is, and the address by which it knows the other. */
-    public record Side(InetSocketAddress party, InetSocketAddress knows) { }
+    public record Side(InetSocketAddress party, InetSocketAddress peerAddress) { }
 
     private final EventLoop loop;
     private final Side a;
     private final Side b;
-    private final LinkDirection there;
-    private final LinkDirection back;
-    private final DoubleSupplier chance;
-    private Channel atA;
-    private Channel atB;
-    private int underWay;
+    private final LinkDirection aToB;
+    private final LinkDirection bToA;
+    private final DoubleSupplier random;
+    private Channel channelA;
+    private Channel channelB;
+    private int queuedDatagrams;
     private long passed;
     private long lost;
 
@@ -44,24 +44,24 @@
         this.loop = loop;
         this.a = a;
         this.b = b;
-        this.there = there;
-        this.back = back;
-        this.chance = chance;
+        this.aToB = there;
+        this.bToA = back;
+        this.random = chance;
     }
 
     /** Binds both addresses; the future of the later one. */
     public ChannelFuture start() {
-        ChannelFuture first = bind(a, there, b);
-        atA = first.channel();
-        ChannelFuture second = bind(b, back, a);
-        atB = second.channel();
+        ChannelFuture first = bind(a, aToB, b);
+        channelA = first.channel();
+        ChannelFuture second = bind(b, bToA, a);
+        channelB = second.channel();
         return second;
     }
 
     /** It is gone: what comes to its addresses is lost. */
     public void stop() {
-        atA.close();
-        atB.close();
+        channelA.close();
+        channelB.close();
     }
 
     /** Datagrams passed on so far, and lost here. */
@@ -75,11 +75,11 @@
 
     private ChannelFuture bind(Side from, LinkDirection way, Side to) {
         return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
                         if (packet.sender().equals(from.party)) {
-                            pass(packet, way, to);
+                            forward(packet, way, to);
                         }
                     }
 
@@ -87,21 +87,21 @@
                         // The other party has no socket just now: its datagrams are lost, as on any network.
                         lost++;
                     }
-                }).bind(from.knows);
+                }).bind(from.peerAddress);
     }
 
-    private void pass(DatagramPacket packet, LinkDirection way, Side to) {
-        int copies = underWay >= MAX_QUEUED_DATAGRAMS ? 0 : way.copies(chance);
+    private void forward(DatagramPacket packet, LinkDirection way, Side to) {
+        int copies = queuedDatagrams >= MAX_QUEUED_DATAGRAMS ? 0 : way.copies(random);
         lost += copies == 0 ? 1 : 0;
         for (int i = 0; i < copies; i++) {
             DatagramPacket copy = new DatagramPacket(packet.content().copy(), to.party);
-            long late = way.delayNanos(chance) + way.reorderingDelayNanos(chance) + way.transferNanos(copy.content().readableBytes());
+            long late = way.delayNanos(random) + way.reorderingDelayNanos(random) + way.transferNanos(copy.content().readableBytes());
             if (late == 0) {
                 send(copy, to);
             } else {
-                underWay++;
+                queuedDatagrams++;
                 loop.schedule(() -> {
-                    underWay--;
+                    queuedDatagrams--;
                     send(copy, to);
                 }, late, TimeUnit.NANOSECONDS);
             }
@@ -109,7 +109,7 @@
     }
 
     private void send(DatagramPacket packet, Side to) {
-        Channel out = to == b ? atB : atA;
+        Channel out = to == b ? channelB : channelA;
         if (out.isActive()) {
             passed++;
             out.writeAndFlush(packet);
--- a/relay/src/test/java/wrenreach/relay/RelayTest.java
+++ b/relay/src/test/java/wrenreach/relay/RelayTest.java
@@ -24,43 +24,43 @@
 
 /** Relays between sockets of the test's own on loopback. */
 class RelayTest {
-    private static final int SOON = 20_000, NEVER = 300;
+    private static final int TIMEOUT_MS = 20_000, SILENCE_MS = 300;
     private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final LinkDirection there = new LinkDirection();
-    private final LinkDirection back = new LinkDirection();
-    private final List<String> failed = new ArrayList<>();
-    private InetSocketAddress at;
+    private final LinkDirection forward = new LinkDirection();
+    private final LinkDirection reverse = new LinkDirection();
+    private final List<String> errors = new ArrayList<>();
+    private InetSocketAddress relayAddress;
     private ServerSocket target;
     private TcpRelay relay;
 
     @BeforeEach void start() throws Exception {
         target = new ServerSocket(0, 50, new InetSocketAddress("127.0.0.1", 0).getAddress());
-        target.setSoTimeout(SOON);
+        target.setSoTimeout(TIMEOUT_MS);
         try (ServerSocket free = new ServerSocket(0, 1, new InetSocketAddress("127.0.0.2", 0).getAddress())) {
-            at = (InetSocketAddress) free.getLocalSocketAddress();
+            relayAddress = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        relay = new TcpRelay(loop, at, new InetSocketAddress("127.0.0.3", 0), (InetSocketAddress) target.getLocalSocketAddress(),
-                there, back, () -> 0.5, failed::add);
-        does(relay::start);
-        until(() -> {
+        relay = new TcpRelay(loop, relayAddress, new InetSocketAddress("127.0.0.3", 0), (InetSocketAddress) target.getLocalSocketAddress(),
+                forward, reverse, () -> 0.5, errors::add);
+        runOnLoop(relay::start);
+        retryUntilPasses(() -> {
             connect().close();
             target.accept().close();
         });
     }
 
     @AfterEach void stop() throws IOException {
-        assertThat(failed).isEmpty();
+        assertThat(errors).isEmpty();
         target.close();
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private void does(Work work) throws Exception {
+    private void runOnLoop(Task work) throws Exception {
         loop.submit(() -> {
             work.run();
             return null;
@@ -68,7 +68,7 @@
     }
 
     /** What the loop has been told shows at the sockets a moment later. */
-    private static void until(Work work) throws Exception {
+    private static void retryUntilPasses(Task work) throws Exception {
         for (int i = 0;; i++) {
             try {
                 work.run();
@@ -82,8 +82,8 @@
         }
     }
 
-    private void troubled(LinkDirection way, Impairment trouble, boolean on) throws Exception {
-        does(() -> {
+    private void setImpairment(LinkDirection way, Impairment trouble, boolean on) throws Exception {
+        runOnLoop(() -> {
             if (on) {
                 way.begin(trouble);
             } else {
@@ -95,94 +95,94 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(at, SOON);
-        socket.setSoTimeout(SOON);
+        socket.connect(relayAddress, TIMEOUT_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
-    private static void says(Socket from, Socket to, String text) throws IOException {
+    private static void assertPasses(Socket from, Socket to, String text) throws IOException {
         from.getOutputStream().write(text.getBytes());
         assertThat(new String(to.getInputStream().readNBytes(text.length()))).isEqualTo(text);
     }
 
-    private static void silent(Socket socket) throws IOException {
-        socket.setSoTimeout(NEVER);
+    private static void assertSilent(Socket socket) throws IOException {
+        socket.setSoTimeout(SILENCE_MS);
         assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
-        socket.setSoTimeout(SOON);
+        socket.setSoTimeout(TIMEOUT_MS);
     }
 
-    @Test void passesOnBothWaysUnderTheAddressOfWhoAsks() throws Exception {
+    @Test void relaysBothDirectionsFromTheSourceAddress() throws Exception {
         try (Socket a = connect(); Socket b = target.accept()) {
             assertThat(b.getInetAddress().getHostAddress()).isEqualTo("127.0.0.3");
-            b.setSoTimeout(SOON);
-            says(a, b, "there");
-            says(b, a, "back");
+            b.setSoTimeout(TIMEOUT_MS);
+            assertPasses(a, b, "there");
+            assertPasses(b, a, "back");
             a.close();
             assertThat(b.getInputStream().read()).isEqualTo(-1);
         }
     }
 
-    @Test void aCutWayHoldsWhatItCarriesUntilItIsOverAndConnectsNeverComeUp() throws Exception {
+    @Test void aCutHoldsDataUntilItEndsAndNewConnectionsTimeOut() throws Exception {
         try (Socket a = connect(); Socket b = target.accept()) {
-            b.setSoTimeout(SOON);
-            says(a, b, "x");
-            troubled(there, CUT, true);
-            troubled(there, CUT, true);
+            b.setSoTimeout(TIMEOUT_MS);
+            assertPasses(a, b, "x");
+            setImpairment(forward, CUT, true);
+            setImpairment(forward, CUT, true);
             a.getOutputStream().write("held".getBytes());
-            silent(b);
-            says(b, a, "the other way is sound");
+            assertSilent(b);
+            assertPasses(b, a, "the other way is sound");
             Socket late = new Socket();
-            assertThatThrownBy(() -> late.connect(at, NEVER)).isInstanceOf(SocketTimeoutException.class);
-            troubled(there, CUT, false);
-            silent(b); // Two cuts overlapped: the other one goes on.
-            troubled(there, CUT, false);
+            assertThatThrownBy(() -> late.connect(relayAddress, SILENCE_MS)).isInstanceOf(SocketTimeoutException.class);
+            setImpairment(forward, CUT, false);
+            assertSilent(b); // Two cuts overlapped: the other one goes on.
+            setImpairment(forward, CUT, false);
             assertThat(new String(b.getInputStream().readNBytes(4))).isEqualTo("held");
-            until(() -> connect().close());
+            retryUntilPasses(() -> connect().close());
         }
     }
 
-    @Test void whereItRefusesOrNobodyListensBehindItNobodyListens() throws Exception {
+    @Test void connectionsAreRefusedWhenImpairedOrTheTargetIsDown() throws Exception {
         Impairment refuse = new Impairment(Impairment.Kind.REFUSE, 0, 0);
-        troubled(back, refuse, true);
-        until(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
-        troubled(back, refuse, false);
-        until(() -> connect().close());
-        does(() -> relay.targetUp(false));
-        until(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
-        does(() -> relay.targetUp(true));
-        until(() -> connect().close());
+        setImpairment(reverse, refuse, true);
+        retryUntilPasses(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
+        setImpairment(reverse, refuse, false);
+        retryUntilPasses(() -> connect().close());
+        runOnLoop(() -> relay.targetUp(false));
+        retryUntilPasses(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
+        runOnLoop(() -> relay.targetUp(true));
+        retryUntilPasses(() -> connect().close());
     }
 
-    @Test void aRelayThatDiesResetsItsConnectionsAndComesBack() throws Exception {
+    @Test void stopResetsConnectionsAndStartListensAgain() throws Exception {
         try (Socket a = connect(); Socket b = target.accept()) {
-            b.setSoTimeout(SOON);
-            says(a, b, "x");
-            does(relay::stop);
+            b.setSoTimeout(TIMEOUT_MS);
+            assertPasses(a, b, "x");
+            runOnLoop(relay::stop);
             assertThatThrownBy(() -> a.getInputStream().read()).isInstanceOf(SocketException.class);
             assertThatThrownBy(() -> b.getInputStream().read()).isInstanceOf(SocketException.class);
-            until(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
-            does(relay::start);
-            until(() -> connect().close());
+            retryUntilPasses(() -> assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class));
+            runOnLoop(relay::start);
+            retryUntilPasses(() -> connect().close());
         }
     }
 
-    @Test void halfAMessageGoesThroughAndTheRestOnlyWhenItIsOver() throws Exception {
+    @Test void truncationPassesHalfAndTheRestOnceItEnds() throws Exception {
         try (Socket a = connect(); Socket b = target.accept()) {
-            b.setSoTimeout(SOON);
-            says(a, b, "x");
+            b.setSoTimeout(TIMEOUT_MS);
+            assertPasses(a, b, "x");
             Impairment half = new Impairment(Impairment.Kind.HALF, 0, 0);
-            troubled(there, half, true);
-            says(b, a, "y");
+            setImpairment(forward, half, true);
+            assertPasses(b, a, "y");
             a.getOutputStream().write("halfhalf".getBytes());
             assertThat(new String(b.getInputStream().readNBytes(4))).isEqualTo("half");
-            silent(b);
-            troubled(there, half, false);
+            assertSilent(b);
+            setImpairment(forward, half, false);
             assertThat(new String(b.getInputStream().readNBytes(4))).isEqualTo("half");
         }
     }
 
     /** Delays are summed where they overlap; a rate spreads a large piece; the order stays. */
-    @Test void whatIsDelayedOrPacedComesLaterAndInOrder() throws Exception {
+    @Test void delayedAndRateLimitedDataArrivesLateAndInOrder() throws Exception {
         LinkDirection way = new LinkDirection();
         way.begin(new Impairment(Impairment.Kind.DELAY, 40, 20));
         way.begin(new Impairment(Impairment.Kind.DELAY, 100, 0));
@@ -191,49 +191,49 @@
         assertThat(way.delayNanos(() -> 0.5)).isEqualTo(150_000_000);
         assertThat(way.transferNanos(50)).isEqualTo(100_000_000);
         try (Socket a = connect(); Socket b = target.accept()) {
-            b.setSoTimeout(SOON);
-            says(a, b, "x");
-            troubled(there, new Impairment(Impairment.Kind.DELAY, 400, 0), true);
+            b.setSoTimeout(TIMEOUT_MS);
+            assertPasses(a, b, "x");
+            setImpairment(forward, new Impairment(Impairment.Kind.DELAY, 400, 0), true);
             a.getOutputStream().write("slow".getBytes());
-            silent(b);
-            troubled(there, new Impairment(Impairment.Kind.DELAY, 400, 0), false);
+            assertSilent(b);
+            setImpairment(forward, new Impairment(Impairment.Kind.DELAY, 400, 0), false);
             a.getOutputStream().write("fast".getBytes());
             assertThat(new String(b.getInputStream().readNBytes(8))).isEqualTo("slowfast");
         }
     }
 
-    @Test void datagramsAreLostDoubledAndOvertakenEachWayByItself() throws Exception {
-        try (DatagramSocket a = new DatagramSocket(0, at.getAddress()); DatagramSocket b = new DatagramSocket(0, at.getAddress());
-                DatagramSocket stranger = new DatagramSocket(0, at.getAddress())) {
-            InetSocketAddress aKnows = new InetSocketAddress("127.0.0.4", at.getPort());
-            InetSocketAddress bKnows = new InetSocketAddress("127.0.0.5", at.getPort());
+    @Test void datagramImpairmentsApplyPerDirection() throws Exception {
+        try (DatagramSocket a = new DatagramSocket(0, relayAddress.getAddress()); DatagramSocket b = new DatagramSocket(0, relayAddress.getAddress());
+                DatagramSocket stranger = new DatagramSocket(0, relayAddress.getAddress())) {
+            InetSocketAddress aKnows = new InetSocketAddress("127.0.0.4", relayAddress.getPort());
+            InetSocketAddress bKnows = new InetSocketAddress("127.0.0.5", relayAddress.getPort());
             UdpRelay udp = new UdpRelay(loop, new UdpRelay.Side((InetSocketAddress) a.getLocalSocketAddress(), aKnows),
-                    new UdpRelay.Side((InetSocketAddress) b.getLocalSocketAddress(), bKnows), there, back, () -> 0.5);
+                    new UdpRelay.Side((InetSocketAddress) b.getLocalSocketAddress(), bKnows), forward, reverse, () -> 0.5);
             loop.submit(udp::start).get().sync();
-            a.setSoTimeout(SOON);
-            b.setSoTimeout(SOON);
+            a.setSoTimeout(TIMEOUT_MS);
+            b.setSoTimeout(TIMEOUT_MS);
             send(stranger, aKnows, "forged");
             send(a, aKnows, "1");
-            assertThat(hear(b, bKnows)).isEqualTo("1");
+            assertThat(receive(b, bKnows)).isEqualTo("1");
             send(b, bKnows, "2");
-            assertThat(hear(a, aKnows)).isEqualTo("2");
-            troubled(there, new Impairment(Impairment.Kind.DOUBLING, 0.6, 0), true);
+            assertThat(receive(a, aKnows)).isEqualTo("2");
+            setImpairment(forward, new Impairment(Impairment.Kind.DOUBLING, 0.6, 0), true);
             send(a, aKnows, "3");
-            assertThat(List.of(hear(b, bKnows), hear(b, bKnows))).containsExactly("3", "3");
+            assertThat(List.of(receive(b, bKnows), receive(b, bKnows))).containsExactly("3", "3");
             Impairment loss = new Impairment(Impairment.Kind.LOSS, 0.6, 0);
-            troubled(there, loss, true);
+            setImpairment(forward, loss, true);
             send(a, aKnows, "4");
             send(b, bKnows, "5");
-            assertThat(hear(a, aKnows)).isEqualTo("5");
-            troubled(there, loss, false);
+            assertThat(receive(a, aKnows)).isEqualTo("5");
+            setImpairment(forward, loss, false);
             Impairment late = new Impairment(Impairment.Kind.REORDERING, 0.6, 800);
-            troubled(back, late, true);
+            setImpairment(reverse, late, true);
             send(b, bKnows, "6");
-            does(() -> { }); // The relay has read it before the way changes.
-            until(() -> assertThat(udp.passed()).isEqualTo(5));
-            troubled(back, late, false);
+            runOnLoop(() -> { }); // The relay has read it before the way changes.
+            retryUntilPasses(() -> assertThat(udp.passed()).isEqualTo(5));
+            setImpairment(reverse, late, false);
             send(b, bKnows, "7");
-            assertThat(List.of(hear(a, aKnows), hear(a, aKnows))).containsExactlyInAnyOrder("7", "6");
+            assertThat(List.of(receive(a, aKnows), receive(a, aKnows))).containsExactlyInAnyOrder("7", "6");
             assertThat(udp.lost()).isEqualTo(1);
         }
     }
@@ -242,7 +242,7 @@
         from.send(new DatagramPacket(text.getBytes(), text.length(), to));
     }
 
-    private static String hear(DatagramSocket at, InetSocketAddress from) throws IOException {
+    private static String receive(DatagramSocket at, InetSocketAddress from) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
         at.receive(packet);
         assertThat(packet.getSocketAddress()).isEqualTo(from);
