--- a/lists/src/main/java/wrenreach/lists/EndpointMerger.java
+++ b/lists/src/main/java/wrenreach/lists/EndpointMerger.java
@@ -10,33 +10,39 @@
 import wrenreach.endpoints.ListUpdate;
 
 /**
- * Decides which endpoints the module knows of: those of the files in force and those of discovery, never a mixture for
- * one destination. Where files rule (scope all, or a destination that they name), discovery's endpoints are not used.
- * What a change of files leaves out is drained for a while before it goes; what discovery deletes goes as it says. Free
- * of I/O; the clock is handed in. It tells changes only, and each change of files at one stroke.
+ * Merges the endpoints of the list in force with those of discovery into what the decisions are told, never mixing the two
+ * sources for one destination. Where the list takes precedence (scope "all", or a destination that it names), the endpoints
+ * of discovery are not used. An endpoint that a new list omits is drained for a while before it is deleted; one that
+ * discovery deletes is deleted at once. Does no I/O; the time is passed in, in microseconds. Each result holds changes only,
+ * and all changes of a new list are in one result.
  */
 final class EndpointMerger {
+    /** Whether a list takes precedence for all destinations, not only for those that it names. */
     private final boolean filesOnly;
+    /** Microseconds. */
     private long drainTime;
+    /** The list in force, or null. */
     private Generation inForce;
     private Set<Integer> namedDestinations = Set.of();
+    /** The endpoints that discovery knows, by id, including those that are not used. */
     private final Map<String, ListUpdate.Entry> discovery = new LinkedHashMap<>();
-    /** What the module was told last, by id; those that leave included. */
+    /** The endpoints as last told to the decisions, by id, including those that are being drained. */
     private final Map<String, ListUpdate.Entry> published = new HashMap<>();
-    /** Until when those that files left out are drained, in the order they left. */
+    /** When the drain of each omitted endpoint ends, by id, in the order in which they were omitted. */
     private final Map<String, Long> drainingUntil = new LinkedHashMap<>();
     private boolean discoverySeen;
+    /** Discovery's version of its last update; every result carries it. */
     private long index;
 
-    /** all: files rule everywhere once there are any; drain: microseconds; files: in force from the start, or null. */
-    EndpointMerger(boolean all, long drain, Generation files) {
-        this.filesOnly = all;
-        this.drainTime = drain;
-        setInForce(files);
+    /** filesOnly: a list takes precedence for all destinations; drainTime: microseconds; inForce: the list at the start, or null. */
+    EndpointMerger(boolean filesOnly, long drainTime, Generation inForce) {
+        this.filesOnly = filesOnly;
+        this.drainTime = drainTime;
+        setInForce(inForce);
     }
 
-    void setDrainTime(long longest) {
-        drainTime = longest;
+    void setDrainTime(long micros) {
+        drainTime = micros;
     }
 
     private void setInForce(Generation next) {
@@ -44,19 +50,19 @@
         namedDestinations = next == null ? Set.of() : next.servingCounts().keySet();
     }
 
-    /** News of discovery's. The first one also brings what the files say. */
-    ListUpdate discoveryUpdated(ListUpdate line, long now) {
-        index = line.index();
+    /** Applies an update of discovery. The result of the first one also holds the endpoints of the list in force. */
+    ListUpdate discoveryUpdated(ListUpdate update, long now) {
+        index = update.index();
         Set<String> touched = new LinkedHashSet<>();
         if (!discoverySeen && inForce != null) {
             touched.addAll(inForce.endpoints().keySet());
         }
         discoverySeen = true;
-        if (line.whole()) {
+        if (update.whole()) {
             touched.addAll(discovery.keySet());
             discovery.clear();
         }
-        for (ListUpdate.Entry entry : line.entries()) {
+        for (ListUpdate.Entry entry : update.entries()) {
             touched.add(entry.name());
             if (entry.status().equals(Generation.SERVING) || entry.status().equals(Generation.DRAINING)) {
                 discovery.put(entry.name(), entry);
@@ -68,8 +74,8 @@
     }
 
     /**
-     * A list takes the place of the one in force; differing: the ids that both know differently. Guards the loop: a
-     * large list costs a turn only what has changed in it.
+     * Replaces the list in force; differing: the ids of endpoints that differ between the two. They are computed by the
+     * caller, so that a large list costs an iteration of the event loop only what has changed in it.
      */
     ListUpdate listAccepted(Generation next, List<String> differing, long now) {
         Set<String> touched = new LinkedHashSet<>(differing);
@@ -80,52 +86,54 @@
         return publishChanges(touched, true, now);
     }
 
-    /** What has been drained for long enough goes. */
+    /** Deletes the endpoints whose drain time is over. */
     ListUpdate removeDrained(long now) {
         List<ListUpdate.Entry> changes = new ArrayList<>();
         drainingUntil.entrySet().removeIf(entry -> {
-            boolean over = entry.getValue() <= now;
-            if (over) {
+            boolean expired = entry.getValue() <= now;
+            if (expired) {
                 changes.add(withStatus(published.remove(entry.getKey()), Generation.DELETED));
             }
-            return over;
+            return expired;
         });
         return new ListUpdate(index, false, changes);
     }
 
-    /** When {@link #due} next has something to do; Long.MAX_VALUE: never. */
+    /** When {@link #removeDrained} has to be called next, in microseconds; Long.MAX_VALUE: never. */
     long nextRemovalAt() {
         return drainingUntil.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
     }
 
+    /** The entry that the decisions should know for an id; null: none. */
     private ListUpdate.Entry wantedEntry(String id) {
         ListUpdate.Entry entry = inForce == null ? null : inForce.endpoints().get(id);
         if (entry == null) {
             entry = discovery.get(id);
-            boolean ruled = entry != null && inForce != null && (filesOnly || namedDestinations.contains(entry.group()));
-            return ruled ? null : entry;
+            boolean overridden = entry != null && inForce != null && (filesOnly || namedDestinations.contains(entry.group()));
+            return overridden ? null : entry;
         }
         return entry;
     }
 
-    private ListUpdate publishChanges(Set<String> touched, boolean drained, long now) {
+    /** Brings what is published up to date; drainFirst: an endpoint that is no longer wanted is drained first, not deleted at once. */
+    private ListUpdate publishChanges(Set<String> touched, boolean drainFirst, long now) {
         List<ListUpdate.Entry> changes = new ArrayList<>();
         for (String id : touched) {
-            ListUpdate.Entry want = wantedEntry(id);
-            ListUpdate.Entry have = published.get(id);
-            if (want != null) {
-                if (drainingUntil.remove(id) != null || !want.equals(have)) {
-                    published.put(id, want);
-                    changes.add(want);
+            ListUpdate.Entry wanted = wantedEntry(id);
+            ListUpdate.Entry current = published.get(id);
+            if (wanted != null) {
+                if (drainingUntil.remove(id) != null || !wanted.equals(current)) {
+                    published.put(id, wanted);
+                    changes.add(wanted);
                 }
-            } else if (have != null && (drained || drainingUntil.containsKey(id) && discovery.containsKey(id))) {
+            } else if (current != null && (drainFirst || drainingUntil.containsKey(id) && discovery.containsKey(id))) {
                 if (drainingUntil.putIfAbsent(id, now + drainTime) == null) {
-                    changes.add(withStatus(have, Generation.DRAINING));
+                    changes.add(withStatus(current, Generation.DRAINING));
                 }
-            } else if (have != null) {
+            } else if (current != null) {
                 published.remove(id);
                 drainingUntil.remove(id);
-                changes.add(withStatus(have, Generation.DELETED));
+                changes.add(withStatus(current, Generation.DELETED));
             }
         }
         return new ListUpdate(index, false, changes);
--- a/lists/src/main/java/wrenreach/lists/Generation.java
+++ b/lists/src/main/java/wrenreach/lists/Generation.java
@@ -7,26 +7,32 @@
 import wrenreach.endpoints.ListUpdate;
 
 /**
- * One list as it was written whole. print: twelve letters that stand for its content; label: its writer's own name for
- * it; endpoints: by the id that the node knows them under, in the order of the files; serving: how many endpoints serve
- * each destination that the list names.
+ * One complete list. fingerprint: 12 hexadecimal digits that identify its content; label: the name that its writer chose;
+ * endpoints: by the id under which the node knows them, in the order of the files; servingCounts: the number of serving
+ * endpoints of each destination that the list names, 0 included.
  */
 record Generation(String fingerprint, String label, Map<String, ListUpdate.Entry> endpoints, Map<Integer, Integer> servingCounts) {
-    static final String SERVING = "SERVING", DRAINING = "DRAINING", DELETED = "DELETED";
+    /** Status of an endpoint that takes new calls. */
+    static final String SERVING = "SERVING";
+    /** Status of an endpoint that ends its calls and takes no new ones. */
+    static final String DRAINING = "DRAINING";
+    /** Status of an endpoint that is removed. */
+    static final String DELETED = "DELETED";
+    /** Begins each id of an endpoint from files, so that none equals an id of discovery. */
     private static final String ID_PREFIX = "file:";
 
-    /** The same, with what serves each destination counted. */
+    /** Counts the serving endpoints of each destination. */
     Generation(String print, String label, Map<String, ListUpdate.Entry> endpoints) {
         this(print, label, endpoints, new HashMap<>());
-        endpoints.values().forEach(e -> servingCounts.merge(e.group(), isServing(e) ? 1 : 0, Integer::sum));
+        endpoints.values().forEach(entry -> servingCounts.merge(entry.group(), isServing(entry) ? 1 : 0, Integer::sum));
     }
 
-    /** Guards against discovery's endpoints of the same name, and a name that stands at two destinations. */
+    /** An id that is distinct from those of discovery, and from that of an endpoint of the same name at another destination. */
     static String idOf(int destination, String name) {
         return ID_PREFIX + destination + "/" + name;
     }
 
-    /** The name that an id was made of. */
+    /** The name of the endpoint, from an id that {@link #idOf} made. */
     static String nameOf(String id) {
         return id.substring(id.indexOf('/') + 1);
     }
@@ -35,16 +41,16 @@
         return entry != null && entry.status().equals(SERVING);
     }
 
-    /** The ids of endpoints that the two lists know differently; earlier may be null. */
-    static List<String> differingIds(Generation earlier, Generation next) {
-        Map<String, ListUpdate.Entry> before = earlier == null ? Map.of() : earlier.endpoints;
+    /** The ids of endpoints that are only in one of the lists or differ between them; previous may be null. */
+    static List<String> differingIds(Generation previous, Generation next) {
+        Map<String, ListUpdate.Entry> previousEntries = previous == null ? Map.of() : previous.endpoints;
         List<String> ids = new ArrayList<>();
         next.endpoints.forEach((id, entry) -> {
-            if (!entry.equals(before.get(id))) {
+            if (!entry.equals(previousEntries.get(id))) {
                 ids.add(id);
             }
         });
-        before.keySet().forEach(id -> {
+        previousEntries.keySet().forEach(id -> {
             if (!next.endpoints.containsKey(id)) {
                 ids.add(id);
             }
--- a/lists/src/main/java/wrenreach/lists/InvalidListException.java
+++ b/lists/src/main/java/wrenreach/lists/InvalidListException.java
@@ -1,6 +1,6 @@
 package wrenreach.lists;
 
-/** Files that can't be taken as a list; the message is FILE:LINE: what is wrong. */
+/** Thrown where files don't hold a valid list. The message is "FILE:LINE: what is wrong", without ":LINE" where line is 0. */
 final class InvalidListException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/lists/src/main/java/wrenreach/lists/ListFiles.java
+++ b/lists/src/main/java/wrenreach/lists/ListFiles.java
@@ -27,30 +27,42 @@
 import wrenreach.endpoints.ListUpdate;
 
 /**
- * Reads and writes lists. A list is one manifest and the parts it names, each with its SHA-256: what is read is one
- * generation that was written whole, or a {@link ListFault}. The format is documented in docs/files.md.
+ * Reads and writes endpoint lists. A list consists of a manifest and the part files that it names, each with its SHA-256.
+ * Reading yields one completely written {@link Generation} or fails with an {@link InvalidListException}. The format is
+ * documented in docs/files.md.
  */
 final class ListFiles {
-    static final String MANIFEST_FORMAT = "wrenreach-manifest", LIST_FORMAT = "wrenreach-list";
+    /** Value of the field "format" in a manifest. */
+    static final String MANIFEST_FORMAT = "wrenreach-manifest";
+    /** Value of the field "format" in the header of a part. */
+    static final String LIST_FORMAT = "wrenreach-list";
+    /** The only version of both formats that is read, and the one that is written. */
     static final int FORMAT_VERSION = 1;
-    private static final int MAX_MANIFEST_BYTES = 1 << 20, MAX_PARTS = 256, MAX_TEXT_CHARS = 256, FINGERPRINT_CHARS = 12;
+    private static final int MAX_MANIFEST_BYTES = 1 << 20;
+    /** Parts that a manifest may name. */
+    private static final int MAX_PARTS = 256;
+    /** Length of a text field, in characters. */
+    private static final int MAX_TEXT_CHARS = 256;
+    /** Leading hexadecimal digits of the digest over all parts that serve as the fingerprint of a list. */
+    private static final int FINGERPRINT_CHARS = 12;
+    /** Weight of an endpoint, without a unit. */
     private static final double MAX_WEIGHT = 1e9;
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
 
-    /** What a list may hold: bytes of all parts, endpoints, endpoints of one destination. */
+    /** Limits on a list: bytes of all parts together, endpoints in total, endpoints of one destination. */
     record Bounds(long maxBytes, int maxEndpoints, int maxEndpointsPerDestination) { }
 
-    /** A part: its file's name and SHA-256 in hexadecimal. */
+    /** A part: its file name relative to the manifest, and its SHA-256 in hexadecimal. */
     record Part(String file, String sha256) { }
 
-    /** What a manifest says; confirm: the print of the list that is confirmed, or "". */
+    /** The content of a manifest; confirm: the fingerprint of the list that the operator confirms, or "". */
     record Manifest(String label, String confirm, List<Part> parts) {
-        /** What stands for the content of all parts, and for nothing else. */
+        /** Identifies the content of all parts; the label and the confirmation do not count. */
         String fingerprint() {
-            MessageDigest sum = newSha256();
-            parts.forEach(part -> sum.update(part.sha256.getBytes(StandardCharsets.US_ASCII)));
-            return HexFormat.of().formatHex(sum.digest()).substring(0, FINGERPRINT_CHARS);
+            MessageDigest digest = newSha256();
+            parts.forEach(part -> digest.update(part.sha256.getBytes(StandardCharsets.US_ASCII)));
+            return HexFormat.of().formatHex(digest.digest()).substring(0, FINGERPRINT_CHARS);
         }
     }
 
@@ -68,13 +80,13 @@
         return HexFormat.of().formatHex(newSha256().digest(bytes));
     }
 
-    /** The manifest's bytes and where it lies once all links are followed: its parts lie beside it there. */
+    /** The bytes of a manifest and its path with all symbolic links resolved; the names of its parts are relative to that folder. */
     record ManifestFile(Path realPath, byte[] bytes) { }
 
     static ManifestFile loadManifest(Path manifest) throws InvalidListException {
         try {
-            Path real = manifest.toRealPath();
-            return new ManifestFile(real, readLimited(real, MAX_MANIFEST_BYTES));
+            Path realPath = manifest.toRealPath();
+            return new ManifestFile(realPath, readLimited(realPath, MAX_MANIFEST_BYTES));
         } catch (IOException e) {
             throw unreadable(manifest, e);
         }
@@ -85,7 +97,7 @@
                 : "can't be read: " + e.getMessage());
     }
 
-    /** All of a file; one that grows while it is read does not go over the limit. */
+    /** Reads a whole file, but never more than limit + 1 bytes, even if it grows meanwhile; IOException where it exceeds the limit. */
     private static byte[] readLimited(Path file, long limit) throws IOException {
         try (InputStream in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes((int) Math.min(limit + 1, Integer.MAX_VALUE - 16));
@@ -96,12 +108,12 @@
         }
     }
 
-    /** A file that is read in a stream: never over the limit, also if it grows meanwhile, and its sum is known at its end. */
+    /** Computes the SHA-256 of a stream as it is read, and fails once more than limit bytes were read, even if the file grows meanwhile. */
     private static final class DigestingInputStream extends InputStream {
         private final InputStream in;
         private final long limit;
         private final MessageDigest digest = newSha256();
-        private long read;
+        private long bytesRead;
 
         DigestingInputStream(InputStream in, long limit) {
             this.in = in;
@@ -109,23 +121,23 @@
         }
 
         @Override public int read() throws IOException {
-            byte[] one = new byte[1];
-            return read(one, 0, 1) < 0 ? -1 : one[0] & 255;
+            byte[] single = new byte[1];
+            return read(single, 0, 1) < 0 ? -1 : single[0] & 255;
         }
 
-        @Override public int read(byte[] to, int from, int length) throws IOException {
-            int count = in.read(to, from, length);
-            if (count > 0) {
-                digest.update(to, from, count);
-                read += count;
-                if (read > limit) {
+        @Override public int read(byte[] buffer, int from, int length) throws IOException {
+            int readNow = in.read(buffer, from, length);
+            if (readNow > 0) {
+                digest.update(buffer, from, readNow);
+                bytesRead += readNow;
+                if (bytesRead > limit) {
                     throw new IOException("larger than " + limit + " bytes");
                 }
             }
-            return count;
+            return readNow;
         }
 
-        /** Reads what is left; the sum of all. */
+        /** Reads the rest of the stream and returns the SHA-256 of all of it in hexadecimal. */
         String digest() throws IOException {
             transferTo(OutputStream.nullOutputStream());
             return HexFormat.of().formatHex(digest.digest());
@@ -136,42 +148,42 @@
         }
     }
 
-    /** The list that a manifest names, in all of its parts; earlier: what it shares with is kept once, or null. */
-    static Generation readList(ManifestFile found, Manifest manifest, Bounds bounds, Generation earlier) throws InvalidListException {
-        ListReader reading = new ListReader(bounds, earlier);
-        long left = bounds.maxBytes();
+    /** Reads all parts of the list that a manifest names; previous: a list whose equal entries are shared to save memory, or null. */
+    static Generation readList(ManifestFile found, Manifest manifest, Bounds bounds, Generation previous) throws InvalidListException {
+        ListReader reader = new ListReader(bounds, previous);
+        long bytesLeft = bounds.maxBytes();
         for (Part part : manifest.parts) {
             Path file = found.realPath.resolveSibling(part.file);
-            try (DigestingInputStream in = new DigestingInputStream(Files.newInputStream(file), left)) {
-                InvalidListException spoilt = null;
+            try (DigestingInputStream in = new DigestingInputStream(Files.newInputStream(file), bytesLeft)) {
+                InvalidListException invalid = null;
                 try {
-                    reading.readPart(file, in);
+                    reader.readPart(file, in);
                 } catch (InvalidListException e) {
-                    spoilt = e;
+                    invalid = e;
                 }
-                // Before all that reads wrong in it: one that is being written reads wrong, and is no fault of its writer's.
-                String sum = in.digest();
-                if (!sum.equals(part.sha256)) {
-                    throw new InvalidListException(file, 0, "its SHA-256 is " + sum + ", the manifest says " + part.sha256
+                // The digest is checked before any syntax error is reported: a part that is still being written has errors that are not its writer's fault.
+                String digest = in.digest();
+                if (!digest.equals(part.sha256)) {
+                    throw new InvalidListException(file, 0, "its SHA-256 is " + digest + ", the manifest says " + part.sha256
                             + ": not written whole, or not of this manifest");
                 }
-                if (spoilt != null) {
-                    throw spoilt;
+                if (invalid != null) {
+                    throw invalid;
                 }
-                left -= in.read;
+                bytesLeft -= in.bytesRead;
             } catch (IOException e) {
                 throw unreadable(file, e);
             }
         }
-        return new Generation(manifest.fingerprint(), manifest.label, reading.endpoints);
+        return new Generation(manifest.fingerprint(), manifest.label, reader.endpoints);
     }
 
-    /** What the bytes of a manifest say; file only names it in faults. */
+    /** Parses a manifest; file is only used in error messages. */
     static Manifest parseManifest(Path file, byte[] bytes) throws InvalidListException {
         try (JsonParser in = JSON.createParser(bytes)) {
-            FieldReader fields = new FieldReader(file, in);
+            FieldReader reader = new FieldReader(file, in);
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw fields.error("is no object");
+                throw reader.error("is no object");
             }
             String label = "", confirm = "", format = "";
             long version = 0;
@@ -180,20 +192,20 @@
                 String name = in.currentName();
                 in.nextToken();
                 switch (name) {
-                    case "format" -> format = fields.text(name);
-                    case "version" -> version = fields.wholeNumber(name);
-                    case "label" -> label = fields.text(name);
-                    case "confirm" -> confirm = fields.text(name);
-                    case "parts" -> parseParts(fields, parts);
-                    default -> throw fields.error("\"" + name + "\" is not known");
+                    case "format" -> format = reader.text(name);
+                    case "version" -> version = reader.wholeNumber(name);
+                    case "label" -> label = reader.text(name);
+                    case "confirm" -> confirm = reader.text(name);
+                    case "parts" -> parseParts(reader, parts);
+                    default -> throw reader.error("\"" + name + "\" is not known");
                 }
             }
-            fields.checkFormat(format, MANIFEST_FORMAT, version);
+            reader.checkFormat(format, MANIFEST_FORMAT, version);
             if (in.nextToken() != null) {
-                throw fields.error("something follows its end");
+                throw reader.error("something follows its end");
             }
             if (parts.isEmpty()) {
-                throw fields.error("it names no parts");
+                throw reader.error("it names no parts");
             }
             return new Manifest(label, confirm, List.copyOf(parts));
         } catch (JsonProcessingException e) {
@@ -209,42 +221,42 @@
                 + e.getOriginalMessage().lines().findFirst().orElse("").replaceAll(" \\(start marker at.*", ""));
     }
 
-    private static void parseParts(FieldReader fields, List<Part> parts) throws IOException, InvalidListException {
-        JsonParser in = fields.in;
+    private static void parseParts(FieldReader reader, List<Part> parts) throws IOException, InvalidListException {
+        JsonParser in = reader.in;
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw fields.error("\"parts\" is a list");
+            throw reader.error("\"parts\" is a list");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.START_OBJECT) {
-                throw fields.error("a part is an object");
+                throw reader.error("a part is an object");
             }
-            String file = "", sum = "";
+            String file = "", sha256 = "";
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 in.nextToken();
                 switch (name) {
-                    case "file" -> file = fields.text(name);
-                    case "sha256" -> sum = fields.text(name);
-                    default -> throw fields.error("\"" + name + "\" of a part is not known");
+                    case "file" -> file = reader.text(name);
+                    case "sha256" -> sha256 = reader.text(name);
+                    default -> throw reader.error("\"" + name + "\" of a part is not known");
                 }
             }
-            String wanted = file;
-            // Guards against parts that lie elsewhere: a manifest and its parts move together.
+            String partFile = file;
+            // A manifest and its parts are moved together, so a part must not be outside the folder of the manifest.
             if (file.isEmpty() || !Path.of(file).normalize().equals(Path.of(file)) || Path.of(file).isAbsolute()
                     || file.startsWith("..")) {
-                throw fields.error("\"file\" is a name beside the manifest, not \"" + file + "\"");
+                throw reader.error("\"file\" is a name beside the manifest, not \"" + file + "\"");
             }
-            if (!sum.matches("[0-9a-f]{64}")) {
-                throw fields.error("\"sha256\" is 64 digits 0-9 a-f");
+            if (!sha256.matches("[0-9a-f]{64}")) {
+                throw reader.error("\"sha256\" is 64 digits 0-9 a-f");
             }
-            if (parts.stream().anyMatch(part -> part.file.equals(wanted)) || parts.size() >= MAX_PARTS) {
-                throw fields.error(parts.size() >= MAX_PARTS ? "more than " + MAX_PARTS + " parts" : file + " is named twice");
+            if (parts.stream().anyMatch(part -> part.file.equals(partFile)) || parts.size() >= MAX_PARTS) {
+                throw reader.error(parts.size() >= MAX_PARTS ? "more than " + MAX_PARTS + " parts" : file + " is named twice");
             }
-            parts.add(new Part(file, sum));
+            parts.add(new Part(file, sha256));
         }
     }
 
-    /** Reads fields of one file and says where one is wrong. */
+    /** Reads typed fields of one JSON file; its errors name the file and the line. */
     private record FieldReader(Path file, JsonParser in) {
         InvalidListException error(String what) {
             return new InvalidListException(file, in.currentLocation().getLineNr(), what);
@@ -261,6 +273,7 @@
             return text;
         }
 
+        /** A number from 0 to Integer.MAX_VALUE. */
         long wholeNumber(String name) throws IOException, InvalidListException {
             if (in.currentToken() != JsonToken.VALUE_NUMBER_INT || in.getNumberType() != JsonParser.NumberType.INT
                     || in.getIntValue() < 0) {
@@ -276,47 +289,48 @@
             return in.getDoubleValue();
         }
 
-        void checkFormat(String format, String wanted, long version) throws InvalidListException {
-            if (!format.equals(wanted) || version != FORMAT_VERSION) {
-                throw error("is not of the format " + wanted + ", version " + FORMAT_VERSION + ", but "
+        void checkFormat(String format, String expected, long version) throws InvalidListException {
+            if (!format.equals(expected) || version != FORMAT_VERSION) {
+                throw error("is not of the format " + expected + ", version " + FORMAT_VERSION + ", but "
                         + (format.isEmpty() ? "says none" : format + ", version " + version));
             }
         }
     }
 
-    /** The endpoints of parts, one after the other. */
+    /** Collects the endpoints of the parts of one list, which are read one after the other. */
     static final class ListReader {
         final Map<String, ListUpdate.Entry> endpoints = new LinkedHashMap<>();
-        /** Zones and kinds are few: each text is kept once. */
+        /** Zones and kinds have few distinct values, so that each text is held in memory once. */
         private final Map<String, String> internedTexts = new HashMap<>();
         private final Map<Integer, Integer> endpointsPerDestination = new HashMap<>();
         private final Bounds bounds;
         private final Map<String, ListUpdate.Entry> previousEntries;
-        private Map<String, String> head = Map.of();
+        /** The fields "print" and "label" of the header that was read last, where present. */
+        private Map<String, String> header = Map.of();
 
-        /** earlier: entries that are the same in it are kept once; null: none. */
-        ListReader(Bounds bounds, Generation earlier) {
+        /** previous: a list whose equal entries are shared instead of held twice; null: none. */
+        ListReader(Bounds bounds, Generation previous) {
             this.bounds = bounds;
-            this.previousEntries = earlier == null ? Map.of() : earlier.endpoints();
+            this.previousEntries = previous == null ? Map.of() : previous.endpoints();
         }
 
-        /** One part: its head, an endpoint a line, and how many they were. */
+        /** Reads one part: a header, one endpoint per line, and a last object with the number of endpoints, which shows a truncated file. */
         void readPart(Path file, InputStream bytes) throws InvalidListException {
             try (JsonParser in = JSON.createParser(bytes)) {
-                FieldReader fields = new FieldReader(file, in);
-                head(fields);
+                FieldReader reader = new FieldReader(file, in);
+                readHeader(reader);
                 int count = 0;
                 while (true) {
                     if (in.nextToken() != JsonToken.START_OBJECT) {
-                        throw fields.error("it ends without {\"end\": " + count + "}: cut off");
+                        throw reader.error("it ends without {\"end\": " + count + "}: cut off");
                     }
-                    if (!readEndpoint(fields, count)) {
+                    if (!readEndpoint(reader, count)) {
                         break;
                     }
                     count++;
                 }
                 if (in.nextToken() != null) {
-                    throw fields.error("something follows its end");
+                    throw reader.error("something follows its end");
                 }
             } catch (JsonProcessingException e) {
                 throw malformed(file, e);
@@ -325,31 +339,31 @@
             }
         }
 
-        private void head(FieldReader fields) throws IOException, InvalidListException {
-            JsonParser in = fields.in;
+        private void readHeader(FieldReader reader) throws IOException, InvalidListException {
+            JsonParser in = reader.in;
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw fields.error("it does not begin with the object that names its format");
+                throw reader.error("it does not begin with the object that names its format");
             }
             String format = "";
             long version = 0;
-            Map<String, String> further = new LinkedHashMap<>();
+            Map<String, String> optionalFields = new LinkedHashMap<>();
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 in.nextToken();
                 switch (name) {
-                    case "format" -> format = fields.text(name);
-                    case "version" -> version = fields.wholeNumber(name);
-                    case "print", "label" -> further.put(name, fields.text(name));
-                    default -> throw fields.error("\"" + name + "\" is not known");
+                    case "format" -> format = reader.text(name);
+                    case "version" -> version = reader.wholeNumber(name);
+                    case "print", "label" -> optionalFields.put(name, reader.text(name));
+                    default -> throw reader.error("\"" + name + "\" is not known");
                 }
             }
-            fields.checkFormat(format, LIST_FORMAT, version);
-            head = further;
+            reader.checkFormat(format, LIST_FORMAT, version);
+            header = optionalFields;
         }
 
-        /** Reads one object; false: it was the end. */
-        private boolean readEndpoint(FieldReader fields, int count) throws IOException, InvalidListException {
-            JsonParser in = fields.in;
+        /** Reads one object; false: it was the last one, which holds the number of endpoints; count: the endpoints before it. */
+        private boolean readEndpoint(FieldReader reader, int count) throws IOException, InvalidListException {
+            JsonParser in = reader.in;
             String name = "", address = "", zone = "", kind = "", status = "serving";
             long destination = -1;
             double weight = 1;
@@ -357,63 +371,63 @@
                 String field = in.currentName();
                 in.nextToken();
                 switch (field) {
-                    case "destination" -> destination = fields.wholeNumber(field);
-                    case "name" -> name = fields.text(field);
-                    case "address" -> address = fields.text(field);
-                    case "zone" -> zone = fields.text(field);
-                    case "kind" -> kind = fields.text(field);
-                    case "weight" -> weight = fields.number(field);
-                    case "status" -> status = fields.text(field);
+                    case "destination" -> destination = reader.wholeNumber(field);
+                    case "name" -> name = reader.text(field);
+                    case "address" -> address = reader.text(field);
+                    case "zone" -> zone = reader.text(field);
+                    case "kind" -> kind = reader.text(field);
+                    case "weight" -> weight = reader.number(field);
+                    case "status" -> status = reader.text(field);
                     case "end" -> {
-                        if (fields.wholeNumber(field) != count || in.nextToken() != JsonToken.END_OBJECT) {
-                            throw fields.error("its end says another number of endpoints than the " + count + " before it");
+                        if (reader.wholeNumber(field) != count || in.nextToken() != JsonToken.END_OBJECT) {
+                            throw reader.error("its end says another number of endpoints than the " + count + " before it");
                         }
                         return false;
                     }
-                    default -> throw fields.error("\"" + field + "\" is not known");
+                    default -> throw reader.error("\"" + field + "\" is not known");
                 }
             }
             if (destination < 0 || name.isEmpty()) {
-                throw fields.error("an endpoint has a \"destination\" and a \"name\"");
+                throw reader.error("an endpoint has a \"destination\" and a \"name\"");
             }
             if (!(weight > 0 && weight <= MAX_WEIGHT)) {
-                throw fields.error("\"weight\" is above 0 and at most 1e9, not " + weight);
+                throw reader.error("\"weight\" is above 0 and at most 1e9, not " + weight);
             }
             if (!status.equals("serving") && !status.equals("draining")) {
-                throw fields.error("\"status\" is serving or draining, not " + status);
+                throw reader.error("\"status\" is serving or draining, not " + status);
             }
             try {
                 Addresses.parse(address);
             } catch (IllegalArgumentException e) {
-                throw fields.error("\"address\": " + e.getMessage());
+                throw reader.error("\"address\": " + e.getMessage());
             }
             String id = Generation.idOf((int) destination, name);
             ListUpdate.Entry entry = new ListUpdate.Entry(id, address, intern(zone), intern(kind), (int) destination,
                     status.equals("serving") ? Generation.SERVING : Generation.DRAINING, weight);
-            ListUpdate.Entry same = previousEntries.get(id);
-            if (!entry.equals(same)) {
-                same = entry;
+            ListUpdate.Entry shared = previousEntries.get(id);
+            if (!entry.equals(shared)) {
+                shared = entry;
             }
-            if (endpoints.put(same.name(), same) != null) {
-                throw fields.error("destination " + destination + " has two endpoints of the name " + name);
+            if (endpoints.put(shared.name(), shared) != null) {
+                throw reader.error("destination " + destination + " has two endpoints of the name " + name);
             }
             if (endpoints.size() > bounds.maxEndpoints()) {
-                throw fields.error("more than " + bounds.maxEndpoints() + " endpoints");
+                throw reader.error("more than " + bounds.maxEndpoints() + " endpoints");
             }
             if (endpointsPerDestination.merge((int) destination, 1, Integer::sum) > bounds.maxEndpointsPerDestination()) {
-                throw fields.error("destination " + destination + " has more than " + bounds.maxEndpointsPerDestination() + " endpoints");
+                throw reader.error("destination " + destination + " has more than " + bounds.maxEndpointsPerDestination() + " endpoints");
             }
             return true;
         }
 
         private String intern(String text) {
-            return internedTexts.computeIfAbsent(text, t -> t);
+            return internedTexts.computeIfAbsent(text, added -> added);
         }
     }
 
     // ---- Writing ----
 
-    /** Writes a list as one part; its head carries what a manifest would. */
+    /** Writes a list as one part; its header carries the fingerprint and the label, which otherwise come from the manifest. */
     static void write(OutputStream out, Generation list) throws IOException {
         try (JsonGenerator json = JSON.createGenerator(new BufferedOutputStream(out, 1 << 16))) {
             json.setRootValueSeparator(null);
@@ -443,13 +457,13 @@
         }
     }
 
-    /** The list that {@link #write} wrote. */
+    /** Reads a list that {@link #write(OutputStream, Generation)} wrote. */
     static Generation readStored(Path file, Bounds bounds) throws InvalidListException {
         try (DigestingInputStream in = new DigestingInputStream(Files.newInputStream(file), bounds.maxBytes())) {
-            ListReader reading = new ListReader(bounds, null);
-            reading.readPart(file, in);
-            return new Generation(reading.head.getOrDefault("print", ""), reading.head.getOrDefault("label", ""),
-                    reading.endpoints);
+            ListReader reader = new ListReader(bounds, null);
+            reader.readPart(file, in);
+            return new Generation(reader.header.getOrDefault("print", ""), reader.header.getOrDefault("label", ""),
+                    reader.endpoints);
         } catch (IOException e) {
             throw unreadable(file, e);
         }
@@ -480,7 +494,7 @@
         return out.toByteArray();
     }
 
-    /** Puts bytes at the file's name at one stroke; a reader sees the old file or the new one. */
+    /** Replaces a file by an atomic rename, so that a reader sees either the old content or the new. */
     static void replaceAtomically(Path file, byte[] bytes) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.write(next, bytes);
--- a/lists/src/main/java/wrenreach/lists/ListGuard.java
+++ b/lists/src/main/java/wrenreach/lists/ListGuard.java
@@ -12,44 +12,46 @@
 import wrenreach.endpoints.ListUpdate;
 
 /**
- * Decides whether a list that was read whole is put in force. Free of I/O; the clock is handed in. One that empties a
- * destination or takes away much of a zone is held back until it comes again with a confirmation that names just it.
- * What small steps took away of late counts together: a faulty writer that drops some with each list is held as well.
+ * Decides whether a complete list takes effect. A list that empties a destination or removes a large share of a zone is held
+ * back until it is read again with a confirmation that names its fingerprint. Recent small removals are added up, so that a
+ * faulty writer that drops a few endpoints with each list is held back as well. Does no I/O; the time is passed in, in
+ * microseconds.
  */
 final class ListGuard {
-    /** Reasons that are told one by one; the rest are counted. */
+    /** Reasons that are listed one by one; the rest are only counted. */
     private static final int MAX_REASONS = 5;
 
-    /** mostGone: the part of a zone's endpoints that may go within the window (microseconds) unconfirmed. */
+    /** maxRemovedShare: the share (0 to 1) of a zone's endpoints that may be removed within the window (microseconds) without a confirmation. */
     record Limits(double maxRemovedShare, long window) { }
 
-    /** What becomes of a list. */
+    /** The decision on a list. */
     sealed interface Verdict { }
 
-    /** It is in force already. */
+    /** The list is in force already. */
     record Unchanged() implements Verdict { }
 
-    /** It takes effect; confirmed: somebody had to say so. */
+    /** The list takes effect; confirmed: it would have been held back without its confirmation. */
     record Accepted(boolean confirmed) implements Verdict { }
 
-    /** It waits for a confirmation. */
+    /** The list waits for a confirmation. */
     record HeldBack(List<String> reasons) implements Verdict { }
 
+    /** removedAt: microseconds. */
     private record RemovedEndpoint(String zone, long removedAt) { }
 
-    /** What lists within the window have taken away and none has brought back; at most what was listed in it. */
+    /** Endpoints that lists within the window have removed and none has restored, by id; no more than were listed within it. */
     private final Map<String, RemovedEndpoint> recentlyRemoved = new HashMap<>();
     private Limits limits;
     private Generation inForce;
 
-    /** inForce: the list that an earlier process went by; null: none. */
+    /** inForce: the list that an earlier process used; null: none. */
     ListGuard(Limits limits, Generation inForce) {
         this.limits = limits;
         this.inForce = inForce;
     }
 
-    void setLimits(Limits now) {
-        limits = now;
+    void setLimits(Limits newLimits) {
+        limits = newLimits;
     }
 
     /** The list in force; null: none yet. */
@@ -57,19 +59,19 @@
         return inForce;
     }
 
-    /** What becomes of the list; confirm: the print that its writer confirms, or "". An accepted one is in force. */
+    /** Decides on a list; confirm: the fingerprint that its writer confirms, or "". An accepted list is in force from here on. */
     Verdict judge(Generation next, String confirm, long now) {
         if (inForce != null && inForce.fingerprint().equals(next.fingerprint())) {
             return new Unchanged();
         }
-        recentlyRemoved.values().removeIf(one -> one.removedAt() + limits.window() <= now);
+        recentlyRemoved.values().removeIf(removed -> removed.removedAt() + limits.window() <= now);
         List<String> reasons = objections(next);
         boolean confirmed = confirm.equals(next.fingerprint());
         if (!reasons.isEmpty() && !confirmed) {
             return new HeldBack(reasons);
         }
         if (!reasons.isEmpty()) {
-            // What somebody has confirmed is the new measure.
+            // A confirmed list is the new baseline: earlier removals no longer count.
             recentlyRemoved.clear();
         } else if (inForce != null) {
             inForce.endpoints().forEach((id, entry) -> {
@@ -91,35 +93,35 @@
         if (inForce == null) {
             return reasons;
         }
-        Map<Integer, Integer> after = next.servingCounts();
+        Map<Integer, Integer> countsAfter = next.servingCounts();
         Set<Integer> emptied = new TreeSet<>();
         new TreeMap<>(inForce.servingCounts()).forEach((destination, count) -> {
-            if (count > 0 && after.getOrDefault(destination, 0) == 0) {
+            if (count > 0 && countsAfter.getOrDefault(destination, 0) == 0) {
                 emptied.add(destination);
                 reasons.add("destination " + destination + " would lose " + (count == 1 ? "its only endpoint"
                         : "all of its " + count + " endpoints"));
             }
         });
-        Map<String, Set<String>> had = new TreeMap<>();
+        Map<String, Set<String>> idsByZone = new TreeMap<>();
         for (ListUpdate.Entry entry : inForce.endpoints().values()) {
             if (Generation.isServing(entry)) {
-                had.computeIfAbsent(entry.zone(), zone -> new HashSet<>()).add(entry.name());
+                idsByZone.computeIfAbsent(entry.zone(), zone -> new HashSet<>()).add(entry.name());
             }
         }
-        recentlyRemoved.forEach((id, one) -> had.computeIfAbsent(one.zone(), zone -> new HashSet<>()).add(id));
-        List<String> zones = new ArrayList<>();
-        had.forEach((zone, ids) -> {
-            long lost = ids.stream().filter(id -> !Generation.isServing(next.endpoints().get(id))).count();
-            if (lost > limits.maxRemovedShare() * ids.size()) {
-                zones.add(String.format(Locale.ROOT, "zone %s would lose %d of %d endpoints, at most %.0f%% may go",
-                        zone.isEmpty() ? "\"\"" : zone, lost, ids.size(), 100 * limits.maxRemovedShare()));
+        recentlyRemoved.forEach((id, removed) -> idsByZone.computeIfAbsent(removed.zone(), zone -> new HashSet<>()).add(id));
+        List<String> zoneReasons = new ArrayList<>();
+        idsByZone.forEach((zone, ids) -> {
+            long missing = ids.stream().filter(id -> !Generation.isServing(next.endpoints().get(id))).count();
+            if (missing > limits.maxRemovedShare() * ids.size()) {
+                zoneReasons.add(String.format(Locale.ROOT, "zone %s would lose %d of %d endpoints, at most %.0f%% may go",
+                        zone.isEmpty() ? "\"\"" : zone, missing, ids.size(), 100 * limits.maxRemovedShare()));
             }
         });
-        reasons.addAll(0, zones);
+        reasons.addAll(0, zoneReasons);
         if (reasons.size() > MAX_REASONS) {
-            int more = reasons.size() - MAX_REASONS;
+            int omitted = reasons.size() - MAX_REASONS;
             reasons.subList(MAX_REASONS, reasons.size()).clear();
-            reasons.add("and " + more + " more");
+            reasons.add("and " + omitted + " more");
         }
         return reasons;
     }
--- a/lists/src/main/java/wrenreach/lists/ListsCommand.java
+++ b/lists/src/main/java/wrenreach/lists/ListsCommand.java
@@ -12,10 +12,12 @@
 import wrenreach.frame.Command;
 import wrenreach.endpoints.ListUpdate;
 
-/** wrenreach lists check|make|status. */
+/** The command "wrenreach lists check|make|status". Exit code 0: fine; 1: status shows a held-back list or a fault; 2: an error. */
 final class ListsCommand implements Command {
+    /** The largest values that the operator's file allows: the command doesn't know those of a node. */
     private static final ListFiles.Bounds LIMITS = new ListFiles.Bounds(1L << 30, 1_000_000, 65_536);
-    private static final String LABEL_OPTION = "--label=", CONFIRM_OPTION = "--confirm";
+    private static final String LABEL_OPTION = "--label=";
+    private static final String CONFIRM_OPTION = "--confirm";
 
     @Override public String name() {
         return "lists";
@@ -48,9 +50,9 @@
     }
 
     private static void check(Path file, PrintStream out) throws InvalidListException {
-        ListFiles.ManifestFile found = ListFiles.loadManifest(file);
-        ListFiles.Manifest manifest = ListFiles.parseManifest(found.realPath(), found.bytes());
-        Generation list = ListFiles.readList(found, manifest, LIMITS, null);
+        ListFiles.ManifestFile manifestFile = ListFiles.loadManifest(file);
+        ListFiles.Manifest manifest = ListFiles.parseManifest(manifestFile.realPath(), manifestFile.bytes());
+        Generation list = ListFiles.readList(manifestFile, manifest, LIMITS, null);
         Map<String, Integer> zones = new TreeMap<>();
         Map<String, Integer> serving = new TreeMap<>();
         for (ListUpdate.Entry entry : list.endpoints().values()) {
@@ -81,7 +83,7 @@
         ListFiles.Manifest manifest = new ListFiles.Manifest(label, "", parts);
         manifest = new ListFiles.Manifest(label, confirm ? manifest.fingerprint() : "", parts);
         byte[] bytes = ListFiles.write(manifest);
-        // Nothing is put in place that a node would not read.
+        // The list is read back first, so that no manifest is published that a node would refuse.
         Generation list = ListFiles.readList(new ListFiles.ManifestFile(file.toAbsolutePath(), bytes),
                 ListFiles.parseManifest(file, bytes), LIMITS, null);
         ListFiles.replaceAtomically(file, bytes);
@@ -89,21 +91,21 @@
     }
 
     private static int status(Path folder, PrintStream out) throws IOException {
-        Status s = Status.read(folder);
-        if (s.fingerprint().isEmpty()) {
+        Status status = Status.read(folder);
+        if (status.fingerprint().isEmpty()) {
             out.println("in force: no list yet");
         } else {
-            out.printf("in force: %s \"%s\", %d endpoints, since %s%n", s.fingerprint(), s.label(), s.endpointCount(),
-                    Instant.ofEpochMilli(s.inForceSince()));
+            out.printf("in force: %s \"%s\", %d endpoints, since %s%n", status.fingerprint(), status.label(), status.endpointCount(),
+                    Instant.ofEpochMilli(status.inForceSince()));
         }
-        if (!s.heldFingerprint().isEmpty()) {
-            out.printf("held back: %s \"%s\" since %s, until the manifest says \"confirm\": \"%s\"%n", s.heldFingerprint(),
-                    s.heldLabel(), Instant.ofEpochMilli(s.heldSince()), s.heldFingerprint());
-            s.heldReasons().forEach(reason -> out.println("  " + reason));
+        if (!status.heldFingerprint().isEmpty()) {
+            out.printf("held back: %s \"%s\" since %s, until the manifest says \"confirm\": \"%s\"%n", status.heldFingerprint(),
+                    status.heldLabel(), Instant.ofEpochMilli(status.heldSince()), status.heldFingerprint());
+            status.heldReasons().forEach(reason -> out.println("  " + reason));
         }
-        if (!s.fault().isEmpty()) {
-            out.printf("can't be read since %s: %s%n", Instant.ofEpochMilli(s.faultSince()), s.fault());
+        if (!status.fault().isEmpty()) {
+            out.printf("can't be read since %s: %s%n", Instant.ofEpochMilli(status.faultSince()), status.fault());
         }
-        return s.isHealthy() ? 0 : 1;
+        return status.isHealthy() ? 0 : 1;
     }
 }
--- a/lists/src/main/java/wrenreach/lists/ListsSection.java
+++ b/lists/src/main/java/wrenreach/lists/ListsSection.java
@@ -5,7 +5,7 @@
 import wrenreach.operator.Section;
 import wrenreach.operator.Unit;
 
-/** [lists]: endpoints from files that the node watches. Times in microseconds, sizes in bytes. */
+/** The section [lists] of the operator's file: endpoints from files that the node watches. Times in microseconds, sizes in bytes. */
 record ListsSection(
         @Key(about = "the manifest that names the parts of the list") Path manifest,
         @Key(about = "a folder that lasts, for the list in force and what is said of it") Path kept,
--- a/lists/src/main/java/wrenreach/lists/ListsSubsystem.java
+++ b/lists/src/main/java/wrenreach/lists/ListsSubsystem.java
@@ -7,14 +7,14 @@
 import wrenreach.frame.Subsystem;
 import wrenreach.operator.Section;
 
-/** Describes the lists from watched files to the frame. */
+/** Provides lists from watched files as a subsystem of the node. */
 public final class ListsSubsystem implements Subsystem<ListsSection> {
     @Override public Section<ListsSection> section() {
         return ListsSection.SECTION;
     }
 
-    @Override public RunningSubsystem<ListsSection> start(ListsSection section, NodeContext host) throws StartException {
-        return new WatchedLists(section, host);
+    @Override public RunningSubsystem<ListsSection> start(ListsSection section, NodeContext node) throws StartException {
+        return new WatchedLists(section, node);
     }
 
     @Override public List<Command> commands() {
--- a/lists/src/main/java/wrenreach/lists/Status.java
+++ b/lists/src/main/java/wrenreach/lists/Status.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * What the node says of its lists, kept in a file for staff. Times in milliseconds of the wall's clock, 0: never; texts
- * are empty where there is nothing to say.
+ * The state of a node's lists, written to a file for operators. Times are in milliseconds since the epoch, by the wall clock;
+ * 0: never. Texts are empty where there is nothing to report.
  */
 record Status(long writtenAt, String fingerprint, String label, int endpointCount, long inForceSince, long acceptedCount,
               String heldFingerprint, String heldLabel, List<String> heldReasons, long heldSince, String fault, long faultSince) {
@@ -24,30 +24,32 @@
         return new Status(0, "", "", 0, 0, 0, "", "", List.of(), 0, "", 0);
     }
 
-    /** A list is in force: nothing is held back and nothing is wrong any more. */
+    /** A new list is in force: no list is held back and no fault is open any more. */
     Status withInForce(Generation list, long now) {
         return new Status(now, list.fingerprint(), list.label(), list.endpoints().size(), now, acceptedCount + 1, "", "", List.of(),
                 0, "", 0);
     }
 
-    /** The list in force was read again. */
+    /** The files hold the list in force again: no list is held back and no fault is open any more. */
     Status withReadable(long now) {
         return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, "", "", List.of(), 0, "", 0);
     }
 
-    Status withHeldBack(Generation list, List<String> why, long now) {
-        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, list.fingerprint(), list.label(), why, now, "", 0);
+    Status withHeldBack(Generation list, List<String> heldReasons, long now) {
+        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, list.fingerprint(), list.label(), heldReasons, now, "", 0);
     }
 
-    Status withFault(String what, long now) {
-        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, heldFingerprint, heldLabel, heldReasons, heldSince, what,
+    Status withFault(String newFault, long now) {
+        return new Status(now, fingerprint, label, endpointCount, inForceSince, acceptedCount, heldFingerprint, heldLabel, heldReasons, heldSince, newFault,
                 fault.isEmpty() ? now : faultSince);
     }
 
+    /** Whether no list is held back and no fault is open. */
     boolean isHealthy() {
         return heldFingerprint.isEmpty() && fault.isEmpty();
     }
 
+    /** Replaces the file in the folder atomically. */
     void write(Path folder) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(out)) {
@@ -75,12 +77,12 @@
         ListFiles.replaceAtomically(folder.resolve(FILE_NAME), out.toByteArray());
     }
 
-    /** What a node wrote last; IOException where there is none or it can't be read. */
+    /** Reads what a node wrote last; IOException where there is no file or it can't be read. Unknown fields are skipped. */
     static Status read(Path folder) throws IOException {
-        List<String> reasons = new ArrayList<>();
-        long writtenAt = 0, since = 0, accepted = 0, heldSince = 0, faultSince = 0;
-        int endpoints = 0;
-        String print = "", label = "", heldPrint = "", heldLabel = "", fault = "";
+        List<String> heldReasons = new ArrayList<>();
+        long writtenAt = 0, inForceSince = 0, acceptedCount = 0, heldSince = 0, faultSince = 0;
+        int endpointCount = 0;
+        String fingerprint = "", label = "", heldFingerprint = "", heldLabel = "", fault = "";
         try (JsonParser in = JSON.createParser(Files.readAllBytes(folder.resolve(FILE_NAME)))) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("no status");
@@ -90,17 +92,17 @@
                 in.nextToken();
                 switch (name) {
                     case "written_at" -> writtenAt = in.getLongValue();
-                    case "print" -> print = in.getText();
+                    case "print" -> fingerprint = in.getText();
                     case "label" -> label = in.getText();
-                    case "endpoints" -> endpoints = in.getIntValue();
-                    case "since" -> since = in.getLongValue();
-                    case "accepted" -> accepted = in.getLongValue();
-                    case "held_print" -> heldPrint = in.getText();
+                    case "endpoints" -> endpointCount = in.getIntValue();
+                    case "since" -> inForceSince = in.getLongValue();
+                    case "accepted" -> acceptedCount = in.getLongValue();
+                    case "held_print" -> heldFingerprint = in.getText();
                     case "held_label" -> heldLabel = in.getText();
                     case "held_since" -> heldSince = in.getLongValue();
                     case "held_reasons" -> {
                         while (in.nextToken() != JsonToken.END_ARRAY) {
-                            reasons.add(in.getText());
+                            heldReasons.add(in.getText());
                         }
                     }
                     case "fault" -> fault = in.getText();
@@ -109,7 +111,7 @@
                 }
             }
         }
-        return new Status(writtenAt, print, label, endpoints, since, accepted, heldPrint, heldLabel,
-                List.copyOf(reasons), heldSince, fault, faultSince);
+        return new Status(writtenAt, fingerprint, label, endpointCount, inForceSince, acceptedCount, heldFingerprint, heldLabel,
+                List.copyOf(heldReasons), heldSince, fault, faultSince);
     }
 }
--- a/lists/src/main/java/wrenreach/lists/WatchedLists.java
+++ b/lists/src/main/java/wrenreach/lists/WatchedLists.java
@@ -25,29 +25,35 @@
 import wrenreach.watch.FileWatch;
 
 /**
- * Lists of endpoints from watched files, in a node. A thread of its own reads, has the guard judge and keeps what is in
- * force; the loop is only told of whole lists, and the roster there turns each into what the module hears.
+ * Endpoint lists from watched files, in a node. The watching thread reads each list, lets the guard decide on it and stores
+ * the one in force. The event loop only gets complete lists; there the merger turns each into an update for the decisions.
  */
 final class WatchedLists implements RunningSubsystem<ListsSection>, FileWatch.ChangeHandler, ListFilter {
     private static final System.Logger LOG = System.getLogger(WatchedLists.class.getName());
+    /** The file, in the folder kept, of the list in force: the next process starts with it. */
     static final String IN_FORCE_FILE = "in-force.jsonl";
-    /** How long one line on a fault stands for those that follow, in microseconds. */
+    /** At most one line on unreadable files is logged in this time, in microseconds. */
     private static final long FAULT_LOG_INTERVAL_MICROS = 10_000_000;
-    /** Endpoints made ready in one go, and how long to wait for the loop to do it. */
-    private static final int PREPARE_BATCH = 500, PREPARE_TIMEOUT_MS = 2000;
+    /** Endpoints that are prepared in one task of the event loop. */
+    private static final int PREPARE_BATCH = 500;
+    /** How long to wait for the event loop to run such a task, in milliseconds. */
+    private static final int PREPARE_TIMEOUT_MS = 2000;
 
     private final NodeContext host;
     private final AtomicReference<ListsSection> section;
     private final Path keptFolder;
     private final FileWatch watch;
-    // The loop's.
+    // Used on the event loop only.
     private final EndpointMerger merger;
     private long nextRemovalAt = Long.MAX_VALUE;
-    // The watching thread's.
+    // Used on the watching thread only, and by the constructor.
     private final ListGuard guard;
     private Status status = Status.empty();
+    /** The bytes of the manifest that was read and decided on last: the same bytes need no new decision. */
     private byte[] handledManifest = new byte[0];
+    /** What was wrong when the files were read last; null: nothing. */
     private InvalidListException fault;
+    /** The fault that was logged last and has not been mended since; "": none. */
     private String loggedFault = "";
     private long faultLogSilentUntil = Long.MIN_VALUE;
 
@@ -70,23 +76,23 @@
                 this);
     }
 
-    /** The list that an earlier process went by. */
-    private Generation readPreviousList(ListsSection from) throws Subsystem.StartException {
+    /** Reads the list that an earlier process used; null: none is stored. */
+    private Generation readPreviousList(ListsSection settings) throws Subsystem.StartException {
         Path file = keptFolder.resolve(IN_FORCE_FILE);
         if (!Files.exists(file)) {
             return null;
         }
         try {
-            Generation list = ListFiles.readStored(file, from.bounds());
+            Generation list = ListFiles.readStored(file, settings.bounds());
             status = status.withInForce(list, System.currentTimeMillis());
             return list;
         } catch (InvalidListException e) {
-            // A guess at which endpoints there are would be worse than not to start.
+            // Without this list the node would have to guess which endpoints there are, which is worse than not starting.
             throw new Subsystem.StartException("the list kept can't be read, remove it to start without: " + e.getMessage());
         }
     }
 
-    // ---- On the loop ----
+    // ---- On the event loop ----
 
     @Override public void serving() {
         watch.start();
@@ -105,8 +111,8 @@
         return Optional.of(this);
     }
 
-    @Override public ListUpdate filter(ListUpdate line, long now) {
-        ListUpdate changes = merger.discoveryUpdated(line, now);
+    @Override public ListUpdate filter(ListUpdate update, long now) {
+        ListUpdate changes = merger.discoveryUpdated(update, now);
         scheduleRemoval(now);
         return changes;
     }
@@ -118,19 +124,19 @@
         scheduleRemoval(now);
     }
 
-    /** Has what is drained go when its time is up. */
+    /** Schedules the removal of drained endpoints for the end of the earliest drain. */
     private void scheduleRemoval(long now) {
         long at = merger.nextRemovalAt();
         if (at < nextRemovalAt) {
             nextRemovalAt = at;
             host.schedule(() -> {
                 nextRemovalAt = Long.MAX_VALUE;
-                long then = host.now();
-                ListUpdate gone = merger.removeDrained(then);
-                if (!gone.entries().isEmpty()) {
-                    host.updateEndpoints(gone);
+                long later = host.now();
+                ListUpdate removed = merger.removeDrained(later);
+                if (!removed.entries().isEmpty()) {
+                    host.updateEndpoints(removed);
                 }
-                scheduleRemoval(then);
+                scheduleRemoval(later);
             }, Math.max(0, at - now));
         }
     }
@@ -138,24 +144,24 @@
     // ---- On the watching thread ----
 
     @Override public boolean fileChanged() {
-        ListsSection now = section.get();
-        guard.setLimits(now.limits());
+        ListsSection settings = section.get();
+        guard.setLimits(settings.limits());
         try {
-            ListFiles.ManifestFile found = ListFiles.loadManifest(now.manifest());
-            if (fault == null && Arrays.equals(found.bytes(), handledManifest)) {
+            ListFiles.ManifestFile file = ListFiles.loadManifest(settings.manifest());
+            if (fault == null && Arrays.equals(file.bytes(), handledManifest)) {
                 return true;
             }
-            ListFiles.Manifest manifest = ListFiles.parseManifest(found.realPath(), found.bytes());
+            ListFiles.Manifest manifest = ListFiles.parseManifest(file.realPath(), file.bytes());
             Generation inForce = guard.inForce();
             if (inForce == null || !manifest.fingerprint().equals(inForce.fingerprint())) {
-                judge(ListFiles.readList(found, manifest, now.bounds(), inForce), manifest.confirm());
+                judge(ListFiles.readList(file, manifest, settings.bounds(), inForce), manifest.confirm());
             } else if (!status.isHealthy()) {
                 updateStatus(status.withReadable(System.currentTimeMillis()));
             }
-            handledManifest = found.bytes();
+            handledManifest = file.bytes();
             if (fault != null && !loggedFault.isEmpty()) {
                 LogEvent.log(LOG, Level.INFO, "lists.readable", "lists: {manifest} can be read again",
-                        "manifest", now.manifest());
+                        "manifest", settings.manifest());
             }
             fault = null;
             loggedFault = "";
@@ -172,7 +178,7 @@
         }
     }
 
-    /** Guards the log against a writer that is at fault again and again: one line a fault, and one in a while. */
+    /** Logs a fault once, and no faster than the interval: a writer that errs again and again would otherwise flood the log. */
     private void reportFault(String what) {
         long now = host.now();
         if (!what.equals(loggedFault) && now >= faultLogSilentUntil) {
@@ -184,7 +190,7 @@
     }
 
     private void judge(Generation list, String confirm) {
-        Generation before = guard.inForce();
+        Generation previous = guard.inForce();
         ListGuard.Verdict verdict = guard.judge(list, confirm, host.now());
         if (verdict instanceof ListGuard.HeldBack held) {
             LogEvent.log(LOG, Level.WARNING, "lists.held", "lists: {print} \"{label}\" is held back until the manifest "
@@ -193,10 +199,10 @@
             updateStatus(status.withHeldBack(list, held.reasons(), System.currentTimeMillis()));
         } else if (verdict instanceof ListGuard.Accepted accepted) {
             if (merger != null) {
-                List<String> differing = Generation.differingIds(before, list);
+                List<String> differingIds = Generation.differingIds(previous, list);
                 try {
-                    prepareInBatches(list, differing);
-                    host.loop().execute(() -> applyOnLoop(list, differing));
+                    prepareInBatches(list, differingIds);
+                    host.loop().execute(() -> applyOnLoop(list, differingIds));
                 } catch (RejectedExecutionException e) {
                     return; // The node has stopped.
                 }
@@ -209,18 +215,18 @@
         }
     }
 
-    /** Guards the loop: what is new is made ready piece by piece, each after the turns that the one before held up. */
-    private void prepareInBatches(Generation list, List<String> differing) {
-        List<ListUpdate.Entry> entries = differing.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
+    /** Prepares new endpoints in batches, each once the previous one is done, so that a large list doesn't hold up the event loop. */
+    private void prepareInBatches(Generation list, List<String> differingIds) {
+        List<ListUpdate.Entry> entries = differingIds.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
         for (int from = 0; entries.size() > PREPARE_BATCH && from < entries.size(); from += PREPARE_BATCH) {
-            List<ListUpdate.Entry> piece = entries.subList(from, Math.min(from + PREPARE_BATCH, entries.size()));
+            List<ListUpdate.Entry> batch = entries.subList(from, Math.min(from + PREPARE_BATCH, entries.size()));
             try {
-                CompletableFuture.runAsync(() -> host.prepare(piece), host.loop()).get(PREPARE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                CompletableFuture.runAsync(() -> host.prepare(batch), host.loop()).get(PREPARE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             } catch (TimeoutException e) {
-                return; // The node stands still or has stopped: the rest is made ready when the list takes effect.
+                return; // The event loop is stalled or has stopped: the rest is prepared when the list takes effect.
             } catch (ExecutionException e) {
                 throw new IllegalStateException(e.getCause());
             }
--- a/lists/src/test/java/wrenreach/lists/ListFilesTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListFilesTest.java
@@ -23,13 +23,13 @@
     @TempDir Path folder;
 
     private static Generation readPart(String text) throws InvalidListException {
-        ListFiles.ListReader reading = new ListFiles.ListReader(BOUNDS, null);
-        reading.readPart(FILE, new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
-        return new Generation("", "", reading.endpoints);
+        ListFiles.ListReader reader = new ListFiles.ListReader(BOUNDS, null);
+        reader.readPart(FILE, new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
+        return new Generation("", "", reader.endpoints);
     }
 
-    private static String endpoint(String more) {
-        return "{\"destination\":1,\"name\":\"a\",\"address\":\"127.0.0.1:80\"" + more + "}\n";
+    private static String endpoint(String moreFields) {
+        return "{\"destination\":1,\"name\":\"a\",\"address\":\"127.0.0.1:80\"" + moreFields + "}\n";
     }
 
     @Test void aListIsReadAsItWasWritten() throws Exception {
@@ -43,7 +43,7 @@
                 "Entry[name=file:1/a, address=127.0.0.1:80, zone=, type=, group=1, status=SERVING, weight=1.0]");
     }
 
-    /** Guards against half-written files: cut at any byte a part or a manifest is a fault, never a shorter list. */
+    /** A partly written part or manifest, truncated at any byte, must be an error, never a shorter list. */
     @Test void aFileTruncatedAtAnyByteIsInvalid() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ListFiles.write(out, Lists.list("1/a@n 1/b@s! 2/a@n"));
@@ -80,9 +80,9 @@
         "{\"name\":\"a\\u0007\"} | part:2: \"name\" holds a control character",
         "[] | part:2: it ends without {\"end\": 0}: cut off",
     })
-    void errorsNameTheLine(String text, String fault) {
+    void errorsNameTheLine(String text, String message) {
         assertThatThrownBy(() -> readPart(HEAD + text.replace("E", endpoint("")))).isInstanceOf(InvalidListException.class)
-                .hasMessage(fault);
+                .hasMessage(message);
     }
 
     @Test void allLimitsOfAListAreEnforced() {
@@ -104,30 +104,30 @@
         assertThatThrownBy(() -> ListFiles.parseManifest(FILE, bytes)).hasMessageContaining("a name beside the manifest");
     }
 
-    /** A part is read as it comes: one that is not written whole is told as that, whatever its text; one of its manifest by its text. */
+    /** A part is parsed while its digest is computed: with a wrong digest it is reported as incomplete, whatever its syntax errors; with the right one they are. */
     @ParameterizedTest
     @CsvSource({"true, 'can''t be read as JSON'", "false, not written whole"})
-    void aWrongDigestIsReportedBeforeSyntaxErrors(boolean itsOwn, String told) throws Exception {
+    void aWrongDigestIsReportedBeforeSyntaxErrors(boolean digestMatches, String message) throws Exception {
         Files.writeString(folder.resolve("a"), HEAD + endpoint("") + "{\"end\":" + "x".repeat(100_000));
-        String sum = itsOwn ? ListFiles.sha256Hex(Files.readAllBytes(folder.resolve("a"))) : "0".repeat(64);
+        String digest = digestMatches ? ListFiles.sha256Hex(Files.readAllBytes(folder.resolve("a"))) : "0".repeat(64);
         Path file = folder.resolve("manifest");
-        Files.write(file, ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part("a", sum)))));
-        ListFiles.ManifestFile found = ListFiles.loadManifest(file);
-        ListFiles.Manifest manifest = ListFiles.parseManifest(file, found.bytes());
-        assertThatThrownBy(() -> ListFiles.readList(found, manifest, BOUNDS, null)).hasMessageContaining(told);
+        Files.write(file, ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part("a", digest)))));
+        ListFiles.ManifestFile manifestFile = ListFiles.loadManifest(file);
+        ListFiles.Manifest manifest = ListFiles.parseManifest(file, manifestFile.bytes());
+        assertThatThrownBy(() -> ListFiles.readList(manifestFile, manifest, BOUNDS, null)).hasMessageContaining(message);
         ListFiles.Bounds small = new ListFiles.Bounds(100_000, 5, 3);
-        assertThatThrownBy(() -> ListFiles.readList(found, manifest, small, null)).hasMessageContaining("larger than 100000 bytes");
+        assertThatThrownBy(() -> ListFiles.readList(manifestFile, manifest, small, null)).hasMessageContaining("larger than 100000 bytes");
     }
 
     @Test void aPartOfAnotherManifestIsInvalid() throws Exception {
         Files.writeString(folder.resolve("a"), HEAD + endpoint("") + "{\"end\":1}");
-        String sum = ListFiles.sha256Hex(Files.readAllBytes(folder.resolve("a")));
-        for (String said : List.of(sum, "0".repeat(64))) {
+        String digest = ListFiles.sha256Hex(Files.readAllBytes(folder.resolve("a")));
+        for (String claimed : List.of(digest, "0".repeat(64))) {
             Path manifest = folder.resolve("manifest");
-            Files.write(manifest, ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part("a", said)))));
-            ListFiles.ManifestFile found = ListFiles.loadManifest(manifest);
-            Throwable thrown = catchThrowable(() -> ListFiles.readList(found, ListFiles.parseManifest(manifest, found.bytes()), BOUNDS, null));
-            assertThat(thrown == null).isEqualTo(said.equals(sum));
+            Files.write(manifest, ListFiles.write(new ListFiles.Manifest("", "", List.of(new ListFiles.Part("a", claimed)))));
+            ListFiles.ManifestFile manifestFile = ListFiles.loadManifest(manifest);
+            Throwable thrown = catchThrowable(() -> ListFiles.readList(manifestFile, ListFiles.parseManifest(manifest, manifestFile.bytes()), BOUNDS, null));
+            assertThat(thrown == null).isEqualTo(claimed.equals(digest));
         }
         assertThatThrownBy(() -> ListFiles.loadManifest(folder.resolve("absent"))).hasMessageEndingWith("no such file");
     }
--- a/lists/src/test/java/wrenreach/lists/ListGuardTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListGuardTest.java
@@ -16,6 +16,7 @@
         return verdict instanceof ListGuard.HeldBack held ? held.reasons() : List.of();
     }
 
+    /** A list of the endpoints from .. to - 1 of destination 1 in zone n. */
     private static Generation endpoints(int from, int to) {
         return list(IntStream.range(from, to).mapToObj(i -> "1/e" + i + "@n").collect(Collectors.joining(" ")));
     }
@@ -36,25 +37,25 @@
         assertThat(guard.judge(list("1/a@n 1/b@s 2/d@s"), "", 0)).isEqualTo(new ListGuard.Accepted(false));
     }
 
-    /** Guards against a writer that drops a few with every list: small steps count together while they are new. */
+    /** A faulty writer may drop a few endpoints with each list: removals add up until they are older than the window. */
     @Test void smallRemovalsAddUpWithinTheWindow() {
-        ListGuard many = new ListGuard(new ListGuard.Limits(0.5, WINDOW), endpoints(0, 100));
-        for (int gone = 10; gone <= 50; gone += 10) {
-            assertThat(many.judge(endpoints(gone, 100), "", gone)).isEqualTo(new ListGuard.Accepted(false));
+        ListGuard guarded = new ListGuard(new ListGuard.Limits(0.5, WINDOW), endpoints(0, 100));
+        for (int removed = 10; removed <= 50; removed += 10) {
+            assertThat(guarded.judge(endpoints(removed, 100), "", removed)).isEqualTo(new ListGuard.Accepted(false));
         }
-        assertThat(reasons(many.judge(endpoints(60, 100), "", 60)))
+        assertThat(reasons(guarded.judge(endpoints(60, 100), "", 60)))
                 .containsExactly("zone n would lose 60 of 100 endpoints, at most 50% may go");
-        assertThat(many.judge(endpoints(60, 100), "", WINDOW + 50)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(guarded.judge(endpoints(60, 100), "", WINDOW + 50)).isEqualTo(new ListGuard.Accepted(false));
     }
 
     @Test void returnedEndpointsDoNotCountAndAConfirmedListIsTheNewBaseline() {
-        ListGuard many = new ListGuard(new ListGuard.Limits(0.5, WINDOW), endpoints(0, 100));
-        assertThat(many.judge(endpoints(50, 100), "", 1)).isEqualTo(new ListGuard.Accepted(false));
-        assertThat(many.judge(endpoints(0, 100), "", 2)).isEqualTo(new ListGuard.Accepted(false));
-        assertThat(many.judge(endpoints(40, 100), "", 3)).isEqualTo(new ListGuard.Accepted(false));
+        ListGuard guarded = new ListGuard(new ListGuard.Limits(0.5, WINDOW), endpoints(0, 100));
+        assertThat(guarded.judge(endpoints(50, 100), "", 1)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(guarded.judge(endpoints(0, 100), "", 2)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(guarded.judge(endpoints(40, 100), "", 3)).isEqualTo(new ListGuard.Accepted(false));
         Generation few = endpoints(90, 100);
-        assertThat(many.judge(few, few.fingerprint(), 4)).isEqualTo(new ListGuard.Accepted(true));
-        assertThat(many.judge(endpoints(95, 100), "", 5)).isEqualTo(new ListGuard.Accepted(false));
+        assertThat(guarded.judge(few, few.fingerprint(), 4)).isEqualTo(new ListGuard.Accepted(true));
+        assertThat(guarded.judge(endpoints(95, 100), "", 5)).isEqualTo(new ListGuard.Accepted(false));
     }
 
     @Test void theFirstListIsAcceptedUnlessEmptyAndReasonsAreLimited() {
--- a/lists/src/test/java/wrenreach/lists/Lists.java
+++ b/lists/src/test/java/wrenreach/lists/Lists.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import wrenreach.endpoints.ListUpdate;
 
-/** Small lists for tests: an endpoint a word, destination/name@zone, with a trailing ! where it drains. */
+/** Short notation of lists for tests: one word per endpoint, destination/name@zone, followed by ! if it is draining. */
 final class Lists {
     private Lists() { }
 
--- a/lists/src/test/java/wrenreach/lists/ListsBench.java
+++ b/lists/src/test/java/wrenreach/lists/ListsBench.java
@@ -15,7 +15,7 @@
 import wrenreach.endpoints.ListUpdate;
 
 /**
- * Measures watched lists on loopback; run by bench/lists.sh, outside CI. Arguments: rounds of the first measurement,
+ * Benchmark of watched lists on loopback, run by bench/lists.sh and not in CI. Arguments: rounds of the first measurement,
  * endpoints and destinations of the second.
  */
 final class ListsBench {
@@ -29,23 +29,23 @@
         System.exit(0);
     }
 
-    /** From the manifest's rename to the first mail that goes to an endpoint of the new list alone, under load. */
+    /** Measures, under load, the time from the rename of the manifest to the first mail that goes to an endpoint that only the new list holds. */
     private static void renameToFirstMail(Path folder, int rounds) throws Exception {
         Files.createDirectories(folder);
         long[] micros = new long[rounds];
-        try (Loopback all = new Loopback(folder, 2, 0, Loopback.section(folder, 1, 10_000))) {
+        try (Loopback setup = new Loopback(folder, 2, 0, Loopback.section(folder, 1, 10_000))) {
             int mail = 0;
             for (int i = 0; i < rounds; i++) {
-                int to = (i + 1) % 2;
-                long renamed = all.publish("list " + i, List.of(to));
-                long first = Long.MAX_VALUE;
-                while (first == Long.MAX_VALUE) {
-                    all.submit("m" + mail++);
-                    for (Loopback.ReceivedCall call = all.calls.poll(); call != null; call = all.calls.poll()) {
-                        first = call.receiver() == to && call.receivedAt() > renamed ? Math.min(first, call.receivedAt()) : first;
+                int newReceiver = (i + 1) % 2;
+                long renamedAt = setup.publish("list " + i, List.of(newReceiver));
+                long firstAt = Long.MAX_VALUE;
+                while (firstAt == Long.MAX_VALUE) {
+                    setup.submit("m" + mail++);
+                    for (Loopback.ReceivedCall call = setup.calls.poll(); call != null; call = setup.calls.poll()) {
+                        firstAt = call.receiver() == newReceiver && call.receivedAt() > renamedAt ? Math.min(firstAt, call.receivedAt()) : firstAt;
                     }
                 }
-                micros[i] = (first - renamed) / 1000;
+                micros[i] = (firstAt - renamedAt) / 1000;
                 if (i % 50 == 49) {
                     System.err.println("round " + (i + 1) + " of " + rounds);
                 }
@@ -57,9 +57,9 @@
                 rounds, micros[rounds / 2], micros[(int) (rounds * 0.99)], micros[rounds - 1]);
     }
 
-    private static byte[] part(int endpoints, int destinations, int without) throws IOException {
+    private static byte[] part(int endpoints, int destinations, int omitted) throws IOException {
         Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
-        for (int i = without; i < endpoints; i++) {
+        for (int i = omitted; i < endpoints; i++) {
             int destination = 1 + i % destinations;
             String id = Generation.idOf(destination, "server-" + i);
             entries.put(id, new ListUpdate.Entry(id, "127.1." + i / 250 % 250 + "." + (1 + i % 250) + ":8080", "zone-" + i % 7,
@@ -78,38 +78,39 @@
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 10;
     }
 
+    /** Measures, for large lists, the time until a new one is stored, the longest gap of the event loop, and the memory. */
     private static void largeLists(Path folder, int endpoints, int destinations) throws Exception {
         Files.createDirectories(folder);
-        try (Loopback all = new Loopback(folder, 1, 0, Loopback.section(folder, 1, 10_000))) {
-            AtomicLong longest = new AtomicLong();
-            AtomicLong before = new AtomicLong(System.nanoTime());
-            all.node.loop().scheduleAtFixedRate(() -> {
+        try (Loopback setup = new Loopback(folder, 1, 0, Loopback.section(folder, 1, 10_000))) {
+            AtomicLong longestGap = new AtomicLong();
+            AtomicLong lastRun = new AtomicLong(System.nanoTime());
+            setup.node.loop().scheduleAtFixedRate(() -> {
                 long now = System.nanoTime();
-                longest.accumulateAndGet(now - before.getAndSet(now), Math::max);
+                longestGap.accumulateAndGet(now - lastRun.getAndSet(now), Math::max);
             }, 1, 1, TimeUnit.MILLISECONDS);
-            long small = usedHeapKb();
+            long heapBefore = usedHeapKb();
             String[] steps = {"all new", "1 of 100 left out", "all but 1 of 100 back", "the same again"};
             for (int step = 0; step < steps.length; step++) {
                 byte[] part = part(endpoints, destinations, step % 2 == 1 && step < 3 ? endpoints / 100 : 0);
                 ListFiles.replaceAtomically(folder.resolve("part"), part);
                 byte[] manifest = ListFiles.write(new ListFiles.Manifest("large " + step, "",
                         List.of(new ListFiles.Part("part", ListFiles.sha256Hex(part)))));
-                longest.set(0);
-                long accepted = all.status().acceptedCount();
-                long at = System.nanoTime();
+                longestGap.set(0);
+                long accepted = setup.status().acceptedCount();
+                long replacedAt = System.nanoTime();
                 ListFiles.replaceAtomically(folder.resolve("manifest.json"), manifest);
-                boolean same = step == steps.length - 1;
-                while (!same && all.status().acceptedCount() == accepted) {
+                boolean unchanged = step == steps.length - 1;
+                while (!unchanged && setup.status().acceptedCount() == accepted) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
-                all.node.loop().submit(() -> { }).sync();
-                long taken = (System.nanoTime() - at) / 1_000_000;
-                TimeUnit.MILLISECONDS.sleep(same ? 500 : 200);
+                setup.node.loop().submit(() -> { }).sync();
+                long tookMs = (System.nanoTime() - replacedAt) / 1_000_000;
+                TimeUnit.MILLISECONDS.sleep(unchanged ? 500 : 200);
                 System.out.printf("%d endpoints of %d destinations, %.1f MB, %s: read, judged, told and kept in %d ms; "
-                        + "longest gap of the loop %d ms%n", endpoints, destinations, part.length / 1e6, steps[step], taken,
-                        longest.get() / 1_000_000);
+                        + "longest gap of the loop %d ms%n", endpoints, destinations, part.length / 1e6, steps[step], tookMs,
+                        longestGap.get() / 1_000_000);
             }
-            System.out.printf("heap: %d KB more than with one endpoint%n", usedHeapKb() - small);
+            System.out.printf("heap: %d KB more than with one endpoint%n", usedHeapKb() - heapBefore);
         }
     }
 }
--- a/lists/src/test/java/wrenreach/lists/Loopback.java
+++ b/lists/src/test/java/wrenreach/lists/Loopback.java
@@ -25,9 +25,9 @@
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
 
-/** A node with watched lists among receivers, a platform and a client of the project's own, all on loopback. */
+/** Runs a node with watched lists together with stub receivers, a stub platform and a client, all on loopback. */
 final class Loopback implements Closeable {
-    /** One call that came: which mail, where, and when its first byte was read (nanoTime). */
+    /** A call that a receiver got: the id of the mail, the index of the receiver, and when its handler started (nanoTime). */
     record ReceivedCall(String mail, int receiver, long receivedAt) { }
 
     final Queue<ReceivedCall> calls = new ConcurrentLinkedQueue<>();
@@ -39,8 +39,8 @@
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private Socket client;
 
-    /** answerAfterMs: how long a receiver takes. The first list names all receivers as r0, r1... of destination 1. */
-    Loopback(Path folder, int count, int answerAfterMs, ListsSection section) throws Exception {
+    /** responseDelayMs: how long a receiver takes to respond. The first list names all receivers as r0, r1... of destination 1. */
+    Loopback(Path folder, int count, int responseDelayMs, ListsSection section) throws Exception {
         this.folder = folder;
         platform = newServer();
         platform.createContext("/", exchange -> {
@@ -60,7 +60,7 @@
                 calls.add(new ReceivedCall(exchange.getRequestHeaders().getFirst("X-Call-Id"), number, System.nanoTime()));
                 exchange.getRequestBody().readAllBytes();
                 try {
-                    Thread.sleep(answerAfterMs);
+                    Thread.sleep(responseDelayMs);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -82,8 +82,8 @@
         node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), DeliveryDispatcher::new);
         node.add("lists", new WatchedLists(section, node));
         node.start();
-        InetSocketAddress door = node.serving().get(20, TimeUnit.SECONDS);
-        client = new Socket(door.getAddress(), door.getPort());
+        InetSocketAddress listenAddress = node.serving().get(20, TimeUnit.SECONDS);
+        client = new Socket(listenAddress.getAddress(), listenAddress.getPort());
         client.setTcpNoDelay(true);
         client.setSoTimeout(20_000);
     }
@@ -99,10 +99,10 @@
         return server;
     }
 
-    /** Puts a list of these receivers in place; when the manifest's name was replaced (nanoTime). */
-    long publish(String label, List<Integer> which) throws Exception {
+    /** Publishes a list of these receivers; returns the time just before the manifest was replaced (nanoTime). */
+    long publish(String label, List<Integer> indexes) throws Exception {
         Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
-        for (int i : which) {
+        for (int i : indexes) {
             String id = Generation.idOf(1, "r" + i);
             entries.put(id, new ListUpdate.Entry(id, "127.0.0.1:" + receivers.get(i).getAddress().getPort(), "home", "small",
                     1, Generation.SERVING, 1000));
@@ -112,29 +112,29 @@
         ListFiles.replaceAtomically(folder.resolve("part"), out.toByteArray());
         byte[] manifest = ListFiles.write(new ListFiles.Manifest(label, "",
                 List.of(new ListFiles.Part("part", ListFiles.sha256Hex(out.toByteArray())))));
-        long at = System.nanoTime();
+        long replacedAt = System.nanoTime();
         ListFiles.replaceAtomically(folder.resolve("manifest.json"), manifest);
-        return at;
+        return replacedAt;
     }
 
-    /** Hands in a mail; what the node answers. */
+    /** Submits a mail; returns the first line of the node's reply. */
     String submit(String id) throws IOException {
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", "k" + id, id, "c=order,t=shop,d=15000,k=t" + id + ",dest=1", "body")) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
         client.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
-        StringBuilder answer = new StringBuilder();
+        StringBuilder reply = new StringBuilder();
         for (int c = client.getInputStream().read(); c != '\n'; c = client.getInputStream().read()) {
             if (c < 0) {
-                throw new IOException("closed after " + answer);
+                throw new IOException("closed after " + reply);
             }
-            answer.append((char) c);
+            reply.append((char) c);
         }
-        return answer.toString().strip();
+        return reply.toString().strip();
     }
 
-    /** What the node says of its lists. */
+    /** The status of its lists that the node wrote last. */
     Status status() throws IOException {
         return Status.read(folder.resolve("kept"));
     }
--- a/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
+++ b/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
@@ -37,11 +37,11 @@
 import wrenreach.net.ReplyHandle;
 import wrenreach.endpoints.ListUpdate;
 
-/** Watched files beside a host that only notes what it is told. */
+/** Tests watched files with a node stub that only records the updates that it gets. */
 class WatchedListsTest {
     @TempDir Path folder;
     private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
-    /** What the module would know after each line, as the names of the endpoints that serve. */
+    /** The names of the serving endpoints after each update that the node got. */
     private final LinkedBlockingQueue<Set<String>> servingSets = new LinkedBlockingQueue<>();
     private final Map<String, ListUpdate.Entry> known = new HashMap<>();
     private final NodeContext host = new NodeContext() {
@@ -67,15 +67,15 @@
 
         @Override public void prepare(List<ListUpdate.Entry> entries) { }
 
-        @Override public void updateEndpoints(ListUpdate line) {
-            for (ListUpdate.Entry entry : line.entries()) {
+        @Override public void updateEndpoints(ListUpdate update) {
+            for (ListUpdate.Entry entry : update.entries()) {
                 known.put(entry.name(), entry);
             }
-            servingSets.add(known.values().stream().filter(Generation::isServing).map(e -> Generation.nameOf(e.name()))
+            servingSets.add(known.values().stream().filter(Generation::isServing).map(entry -> Generation.nameOf(entry.name()))
                     .collect(Collectors.toSet()));
         }
 
-        @Override public void submit(Submission submission, long lifetimeMs, ReplyHandle asker) { }
+        @Override public void submit(Submission submission, long lifetimeMs, ReplyHandle replyHandle) { }
     };
     private final List<Set<String>> seen = new ArrayList<>();
     private WatchedLists lists;
@@ -105,16 +105,16 @@
         loop.execute(lists::serving);
     }
 
-    /** A part with these endpoints of destination 1. */
+    /** A part that holds these endpoints, all of destination 1 and zone n. */
     private static byte[] part(String... names) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        ListFiles.write(out, Lists.list(Arrays.stream(names).map(n -> "1/" + n + "@n").collect(Collectors.joining(" "))));
+        ListFiles.write(out, Lists.list(Arrays.stream(names).map(name -> "1/" + name + "@n").collect(Collectors.joining(" "))));
         return out.toByteArray();
     }
 
     private static byte[] manifest(String label, String confirm, Map<String, byte[]> parts) throws IOException {
         return ListFiles.write(new ListFiles.Manifest(label, confirm, parts.entrySet().stream().sorted(Map.Entry.comparingByKey())
-                .map(e -> new ListFiles.Part(e.getKey(), ListFiles.sha256Hex(e.getValue()))).toList()));
+                .map(entry -> new ListFiles.Part(entry.getKey(), ListFiles.sha256Hex(entry.getValue()))).toList()));
     }
 
     private String publish(String label, String confirm, String... names) throws Exception {
@@ -125,6 +125,7 @@
         return ListFiles.parseManifest(manifest(), manifest).fingerprint();
     }
 
+    /** Waits for an update after which just these endpoints serve; records all sets seen before. */
     private void awaitServing(String... names) throws InterruptedException {
         Set<String> wanted = Set.of(names);
         Set<String> last = null;
@@ -153,8 +154,9 @@
     }
 
     /**
-     * Guards against mixed lists: a writer that tears, cuts and renames two parts and their manifest 4,000 times beside
-     * the reading thread. Each picture is of one generation: all names of a generation carry its number.
+     * A list must never mix two generations. A writer truncates, overwrites and renames two parts and their manifest 4,000
+     * times while the watching thread reads them. The names of a generation carry its number, so that each set of serving
+     * endpoints shows of which generation it is.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -163,13 +165,13 @@
         start(1);
         awaitServing();
         Set<Set<String>> written = new HashSet<>();
-        for (int g = 0; g < 2000; g++) {
-            String[] north = {"g" + g + "-a", "g" + g + "-b"};
-            String[] south = {"g" + g + "-c"};
+        for (int generation = 0; generation < 2000; generation++) {
+            String[] north = {"g" + generation + "-a", "g" + generation + "-b"};
+            String[] south = {"g" + generation + "-c"};
             Map<String, byte[]> parts = Map.of("north", part(north), "south", part(south));
-            List<Path> order = new ArrayList<>(List.of(folder.resolve("north"), folder.resolve("south"), manifest()));
-            for (Path file : order) {
-                byte[] bytes = file.equals(manifest()) ? manifest("g" + g, "", parts) : parts.get(file.getFileName().toString());
+            List<Path> files = new ArrayList<>(List.of(folder.resolve("north"), folder.resolve("south"), manifest()));
+            for (Path file : files) {
+                byte[] bytes = file.equals(manifest()) ? manifest("g" + generation, "", parts) : parts.get(file.getFileName().toString());
                 switch (random.nextInt(4)) {
                     case 0 -> Files.write(file, Arrays.copyOf(bytes, random.nextInt(bytes.length)));
                     case 1 -> {
@@ -183,10 +185,10 @@
                 }
             }
             written.add(Set.of(north[0], north[1], south[0]));
-            if (g % 100 == 99) {
-                publish("whole " + g, "", "whole-" + g);
-                awaitServing("whole-" + g);
-                written.add(Set.of("whole-" + g));
+            if (generation % 100 == 99) {
+                publish("whole " + generation, "", "whole-" + generation);
+                awaitServing("whole-" + generation);
+                written.add(Set.of("whole-" + generation));
             }
         }
         String last = publish("last", "", "end");
@@ -212,7 +214,7 @@
         publish("one left", print, "a");
         awaitServing("a");
         assertThat(seen).isSubsetOf(Set.of(), Set.of("a", "b", "c"), Set.of("a"));
-        // The status is written after the node has heard of the list.
+        // The status is written after the node has got the list.
         awaitStatus(s -> s.label().equals("one left") && s.heldFingerprint().isEmpty());
         assertThat(command(0, "status", kept().toString())).contains("\"one left\", 1 endpoints").doesNotContain("held");
     }
@@ -233,32 +235,32 @@
     }
 
     @Test void changedLinksEqualTimestampsAndRecreatedFilesAreNoticed() throws Exception {
-        Path one = Files.createDirectory(folder.resolve("one"));
-        Path two = Files.createDirectory(folder.resolve("two"));
-        for (Path at : List.of(one, two)) {
-            byte[] part = part(at.getFileName().toString());
-            Files.write(at.resolve("part"), part);
-            Files.write(at.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
+        Path first = Files.createDirectory(folder.resolve("one"));
+        Path second = Files.createDirectory(folder.resolve("two"));
+        for (Path version : List.of(first, second)) {
+            byte[] part = part(version.getFileName().toString());
+            Files.write(version.resolve("part"), part);
+            Files.write(version.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
         }
-        Path current = Files.createSymbolicLink(folder.resolve("current"), one);
+        Path current = Files.createSymbolicLink(folder.resolve("current"), first);
         Files.createSymbolicLink(manifest(), Path.of("current", "manifest.json"));
         start(1);
         awaitServing("one");
-        Files.move(Files.createSymbolicLink(folder.resolve("next"), two), current, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(Files.createSymbolicLink(folder.resolve("next"), second), current, StandardCopyOption.ATOMIC_MOVE);
         awaitServing("two");
-        // The same time stamp and length: content tells.
-        FileTime stamp = Files.getLastModifiedTime(two.resolve("manifest.json"));
+        // Same timestamp and length: only the content shows the change.
+        FileTime stamp = Files.getLastModifiedTime(second.resolve("manifest.json"));
         byte[] part = part("six");
-        Files.write(two.resolve("part"), part);
-        Path next = Files.write(two.resolve("next"), manifest("l", "", Map.of("part", part)));
+        Files.write(second.resolve("part"), part);
+        Path next = Files.write(second.resolve("next"), manifest("l", "", Map.of("part", part)));
         Files.setLastModifiedTime(next, stamp);
-        Files.move(next, two.resolve("manifest.json"), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(next, second.resolve("manifest.json"), StandardCopyOption.ATOMIC_MOVE);
         awaitServing("six");
-        Files.delete(two.resolve("manifest.json"));
+        Files.delete(second.resolve("manifest.json"));
         awaitStatus(s -> s.fault().endsWith("no such file"));
-        Files.write(two.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
+        Files.write(second.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
         awaitStatus(Status::isHealthy);
-        assertThat(servingSets).allMatch(picture -> picture.equals(Set.of("six")));
+        assertThat(servingSets).allMatch(names -> names.equals(Set.of("six")));
     }
 
     @Test void commandsMakeCheckAndReportErrors() throws Exception {
