--- a/relay/src/main/java/wrenreach/relay/Impairment.java
+++ b/relay/src/main/java/wrenreach/relay/Impairment.java
@@ -1,23 +1,24 @@
 package wrenreach.relay;
 
 /**
- * One thing that is wrong with a way. DELAY: figure and up to more, in milliseconds; RATE: figure, in bytes a second; LOSS,
- * DOUBLING, REORDERING: figure, a share of the datagrams, those that are overtaken being up to more milliseconds late.
+ * One fault of a direction of a link. DELAY: figure plus a random part of up to more, in milliseconds. RATE: figure, in bytes
+ * per second. LOSS, DOUBLING, REORDERING: figure is the share (0 to 1) of datagrams affected; a reordered datagram is up to
+ * more milliseconds late.
  */
 public record Impairment(Kind kind, double figure, double more) {
-    /** What may be wrong. */
+    /** The kinds of faults. */
     public enum Kind {
-        /** Nothing gets through; what a connection carries is kept and goes on afterwards, as TCP sends it again. */
+        /** Nothing passes. Data of a connection is held and passes once the cut ends, as TCP retransmits it; datagrams are lost. */
         CUT,
         /** New connections are refused. */
         REFUSE,
-        /** All comes later. */
+        /** All data is delayed. */
         DELAY,
-        /** No more than so much gets through. */
+        /** The throughput is limited. */
         RATE,
-        /** Half of the next piece gets through, then nothing. */
+        /** The first half of the next piece of data passes, then nothing. */
         HALF,
-        /** Datagrams are lost, come twice, overtake each other; connections are not touched. */
+        /** Datagrams are lost, arrive twice or overtake each other; connections are not affected. */
         LOSS, DOUBLING, REORDERING
     }
 }
--- a/relay/src/main/java/wrenreach/relay/LinkDirection.java
+++ b/relay/src/main/java/wrenreach/relay/LinkDirection.java
@@ -5,24 +5,26 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One way of a link between two parties and what is wrong with it at present. Troubles that overlap add up: delays are
- * summed, the least rate holds, a share is that of any of them striking. One thread's; the chances handed in are from 0 to
- * below 1.
+ * One direction of a link between two parties, with its present impairments. Impairments that overlap are combined: delays
+ * are summed, the lowest rate applies, and each loss or doubling strikes independently. For use by one thread; each random
+ * number that is passed in is from 0 to below 1.
  */
 public final class LinkDirection {
-    private static final double NANOS_PER_MS = 1_000_000, NANOS_PER_SECOND = 1_000_000_000;
+    private static final double NANOS_PER_MS = 1_000_000;
+    private static final double NANOS_PER_SECOND = 1_000_000_000;
 
     private final List<Impairment> impairments = new ArrayList<>(1);
+    /** Whether half a piece has passed since HALF began. */
     private boolean isTruncating;
 
-    /** From now on this is wrong too. */
-    public void begin(Impairment trouble) {
-        impairments.add(trouble);
+    /** Adds an impairment; an equal one may be present already. */
+    public void begin(Impairment impairment) {
+        impairments.add(impairment);
     }
 
-    /** This one is over; what is equal to it and still goes on stays. */
-    public void end(Impairment trouble) {
-        impairments.remove(trouble);
+    /** Removes one impairment; others that are equal to it stay. */
+    public void end(Impairment impairment) {
+        impairments.remove(impairment);
         isTruncating &= has(Impairment.Kind.HALF);
     }
 
@@ -31,8 +33,8 @@
     }
 
     private boolean has(Impairment.Kind kind) {
-        for (Impairment trouble : impairments) {
-            if (trouble.kind() == kind) {
+        for (Impairment impairment : impairments) {
+            if (impairment.kind() == kind) {
                 return true;
             }
         }
@@ -47,12 +49,12 @@
         return has(Impairment.Kind.REFUSE);
     }
 
-    /** Whether half a piece has gone through and nothing follows it. */
+    /** Whether half a piece has passed and nothing may follow it. */
     public boolean isTruncating() {
         return isTruncating;
     }
 
-    /** How much of a piece of so many bytes goes through before nothing does: all of it where no half is wanted. */
+    /** How many bytes of a piece of this size pass: half of it if HALF applies and has not struck yet, which then blocks what follows; else all of it. */
     public int passedBytes(int bytes) {
         if (isTruncating || !has(Impairment.Kind.HALF)) {
             return bytes;
@@ -61,47 +63,47 @@
         return bytes / 2;
     }
 
-    /** How much later than without troubles something comes that is sent now, in nanoseconds. */
-    public long delayNanos(DoubleSupplier chance) {
+    /** The delay of what is sent now, in nanoseconds; random is drawn once for each delay. */
+    public long delayNanos(DoubleSupplier random) {
         double delay = 0;
-        for (Impairment trouble : impairments) {
-            if (trouble.kind() == Impairment.Kind.DELAY) {
-                delay += NANOS_PER_MS * (trouble.figure() + trouble.more() * chance.getAsDouble());
+        for (Impairment impairment : impairments) {
+            if (impairment.kind() == Impairment.Kind.DELAY) {
+                delay += NANOS_PER_MS * (impairment.figure() + impairment.more() * random.getAsDouble());
             }
         }
         return (long) delay;
     }
 
-    /** The time that so many bytes take, in nanoseconds. */
+    /** The time that the transfer of this many bytes takes at the lowest rate, in nanoseconds; 0: no rate applies. */
     public long transferNanos(int bytes) {
         double longest = 0;
-        for (Impairment trouble : impairments) {
-            if (trouble.kind() == Impairment.Kind.RATE) {
-                longest = Math.max(longest, NANOS_PER_SECOND * bytes / trouble.figure());
+        for (Impairment impairment : impairments) {
+            if (impairment.kind() == Impairment.Kind.RATE) {
+                longest = Math.max(longest, NANOS_PER_SECOND * bytes / impairment.figure());
             }
         }
         return (long) longest;
     }
 
-    /** How often a datagram sent now arrives: 0 to 2 times. */
-    public int copies(DoubleSupplier chance) {
+    /** How many copies of a datagram that is sent now arrive: 0 to 2. */
+    public int copies(DoubleSupplier random) {
         boolean lost = isCut() || isTruncating;
         boolean doubled = false;
-        for (Impairment trouble : impairments) {
-            lost |= trouble.kind() == Impairment.Kind.LOSS && chance.getAsDouble() < trouble.figure();
-            doubled |= trouble.kind() == Impairment.Kind.DOUBLING && chance.getAsDouble() < trouble.figure();
+        for (Impairment impairment : impairments) {
+            lost |= impairment.kind() == Impairment.Kind.LOSS && random.getAsDouble() < impairment.figure();
+            doubled |= impairment.kind() == Impairment.Kind.DOUBLING && random.getAsDouble() < impairment.figure();
         }
         return lost ? 0 : doubled ? 2 : 1;
     }
 
-    /** How much later a datagram comes because others overtake it, in nanoseconds. */
-    public long reorderingDelayNanos(DoubleSupplier chance) {
-        double late = 0;
-        for (Impairment trouble : impairments) {
-            if (trouble.kind() == Impairment.Kind.REORDERING && chance.getAsDouble() < trouble.figure()) {
-                late += NANOS_PER_MS * trouble.more() * chance.getAsDouble();
+    /** The extra delay that lets other datagrams overtake this one, in nanoseconds. */
+    public long reorderingDelayNanos(DoubleSupplier random) {
+        double delay = 0;
+        for (Impairment impairment : impairments) {
+            if (impairment.kind() == Impairment.Kind.REORDERING && random.getAsDouble() < impairment.figure()) {
+                delay += NANOS_PER_MS * impairment.more() * random.getAsDouble();
             }
         }
-        return (long) late;
+        return (long) delay;
     }
 }
--- a/relay/src/main/java/wrenreach/relay/TcpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/TcpRelay.java
@@ -31,16 +31,22 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Connections from one party to another, passed on over loopback as the two ways of their link allow. Where nobody listens
- * behind it, or the link refuses, nobody listens here either; where it is cut, connects never come up. All of it belongs to
- * one loop. Memory: up to {@link #HELD} bytes are held of each way of each connection, then no more is read.
+ * Relays TCP connections from one party to another over loopback, as the two directions of their link allow. While nobody
+ * listens at the target, or the link refuses, the relay doesn't listen either; while the link is cut, TCP connects to it time
+ * out. All methods run on one event loop. Memory: each direction of each connection buffers up to {@link #BUFFER_BYTES} bytes
+ * and the read that exceeds them, then reading stops.
  */
 public final class TcpRelay {
-    /** Bytes of one way of one connection that are read before they may go on. */
+    /** Bytes buffered for one direction of one connection above which reading stops; it goes on below half of them. */
     public static final int BUFFER_BYTES = 1 << 20;
-    private static final int TCP_CONNECT_TIMEOUT_MS = 1000, BACKLOG_FILLERS = 4, MAX_LISTEN_RETRIES = 400;
+    private static final int TCP_CONNECT_TIMEOUT_MS = 1000;
+    /** Connections that fill the backlog of the listener that accepts none. */
+    private static final int BACKLOG_FILLERS = 4;
+    /** Failures to listen in a row that are retried before the relay gives up. */
+    private static final int MAX_LISTEN_RETRIES = 400;
     private static final long LISTEN_RETRY_NANOS = 5_000_000;
 
+    /** CLOSED: nobody listens; OPEN: connections are relayed; UNRESPONSIVE: TCP connects time out. */
     private enum Mode { CLOSED, OPEN, UNRESPONSIVE }
 
     private final EventLoop loop;
@@ -56,6 +62,7 @@
     private Mode mode = Mode.CLOSED;
     private Channel listener;
     private ServerSocketChannel unresponsiveListener;
+    /** Whether a change of mode is under way or scheduled. */
     private boolean switching;
     private boolean targetUp = true;
     private boolean stopped = true;
@@ -63,71 +70,72 @@
     private long opened;
 
     /**
-     * at: where it listens; own: the address that it comes from, so that the other side can tell who asks (port 0); to: where
-     * it leads; failed: told in one line of what the machine refuses.
+     * sourceAddress: the local address of connections to the target, by which the target can tell which party connects (port
+     * 0); forward: towards the target; random: from 0 to below 1; errorHandler: gets a line for each failure of the operating
+     * system.
      */
-    public TcpRelay(EventLoop loop, InetSocketAddress at, InetSocketAddress own, InetSocketAddress to, LinkDirection there, LinkDirection back,
-                    DoubleSupplier chance, Consumer<String> failed) {
+    public TcpRelay(EventLoop loop, InetSocketAddress listenAddress, InetSocketAddress sourceAddress, InetSocketAddress targetAddress,
+                    LinkDirection forward, LinkDirection reverse, DoubleSupplier random, Consumer<String> errorHandler) {
         this.loop = loop;
-        this.listenAddress = at;
-        this.sourceAddress = own;
-        this.targetAddress = to;
-        this.forward = there;
-        this.reverse = back;
-        this.random = chance;
-        this.errorHandler = failed;
+        this.listenAddress = listenAddress;
+        this.sourceAddress = sourceAddress;
+        this.targetAddress = targetAddress;
+        this.forward = forward;
+        this.reverse = reverse;
+        this.random = random;
+        this.errorHandler = errorHandler;
     }
 
-    /** A listener of the family in which addresses of loopback are many. */
+    /** A server channel for IPv4, which has many loopback addresses. */
     public static NioServerSocketChannel listener() {
         return new NioServerSocketChannel(SelectorProvider.provider(), SocketProtocolFamily.INET);
     }
 
-    /** A connection of the same. */
+    /** A client channel for IPv4. */
     public static NioSocketChannel connection() {
         return new NioSocketChannel(SelectorProvider.provider(), SocketProtocolFamily.INET);
     }
 
-    /** It begins, or is there again after it died. */
+    /** Starts the relay, also again after {@link #stop}. */
     public void start() {
         stopped = false;
         changed();
     }
 
-    /** It is gone with all its connections, which are reset; nobody listens. */
+    /** Stops listening and resets all connections. */
     public void stop() {
         stopped = true;
         reset();
         changed();
     }
 
-    /** Whether somebody listens where it leads. */
+    /** Tells the relay whether somebody listens at the target. */
     public void targetUp(boolean up) {
         targetUp = up;
         changed();
     }
 
-    /** Resets every connection that passes through. */
+    /** Resets all connections. */
     public void reset() {
         List.copyOf(connections).forEach(RelayedConnection::reset);
     }
 
-    /** Connections that have come up so far. */
+    /** The number of connections accepted so far. */
     public long opened() {
         return opened;
     }
 
-    /** Connections that pass through now. */
+    /** The number of connections that are open now. */
     public int open() {
         return connections.size();
     }
 
-    /** What is wrong with the ways has changed. */
+    /** Has to be called after each change to the impairments of the two directions. */
     public void changed() {
         switchMode();
-        List.copyOf(connections).forEach(pair -> {
-            pair.forward.drain();
-            pair.reverse.drain();
+        List.copyOf(connections).forEach(connection -> {
+            connection.forward.drain();
+            connection.reverse.drain();
         });
     }
 
@@ -138,7 +146,7 @@
         return forward.isCut() || reverse.isCut() ? Mode.UNRESPONSIVE : Mode.OPEN;
     }
 
-    /** Closes what listens and opens what shall; what is wanted may change meanwhile. */
+    /** Closes the listener of the present mode and opens that of the wanted one, which may change meanwhile. */
     private void switchMode() {
         if (switching || mode == wantedMode()) {
             return;
@@ -146,7 +154,7 @@
         if (mode == Mode.OPEN) {
             switching = true;
             mode = Mode.CLOSED;
-            // The machine has the address back once the loop's selector has let go of it: one look later.
+            // The operating system frees the address only once the loop's selector has released the channel, one select later.
             listener.close().addListener(done -> switchModeLater(0));
             return;
         }
@@ -169,12 +177,12 @@
         }, nanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Guards against an address that is in use for a moment more: it is tried again for a bounded time. */
-    private void listenFailed(String what, Throwable cause) {
+    /** The address may be in use for a moment longer, so listening is retried a limited number of times before the relay stops. */
+    private void listenFailed(String action, Throwable cause) {
         mode = Mode.CLOSED;
         if (++listenFailures > MAX_LISTEN_RETRIES) {
             stopped = true;
-            errorHandler.accept(what + " " + listenAddress + ": " + cause.getMessage());
+            errorHandler.accept(action + " " + listenAddress + ": " + cause.getMessage());
         } else {
             switchModeLater(LISTEN_RETRY_NANOS);
         }
@@ -204,8 +212,8 @@
     }
 
     /**
-     * A listener whose queue is full and never emptied: the machine drops what asks for a connection, so connects neither come
-     * up nor are refused.
+     * Opens a listener whose backlog is full and never accepted from: the operating system drops further SYN packets, so that
+     * TCP connects neither succeed nor are refused.
      */
     private void openUnresponsiveListener() {
         try {
@@ -214,10 +222,10 @@
             unresponsiveListener.bind(listenAddress, 1);
             mode = Mode.UNRESPONSIVE;
             for (int i = 0; i < BACKLOG_FILLERS; i++) {
-                SocketChannel fill = SocketChannel.open(StandardProtocolFamily.INET);
-                backlogFillers.add(fill);
-                fill.configureBlocking(false);
-                fill.connect(listenAddress);
+                SocketChannel filler = SocketChannel.open(StandardProtocolFamily.INET);
+                backlogFillers.add(filler);
+                filler.configureBlocking(false);
+                filler.connect(listenAddress);
             }
             listenFailures = 0;
         } catch (IOException e) {
@@ -228,8 +236,8 @@
 
     private void closeUnresponsiveListener() {
         try {
-            for (SocketChannel fill : backlogFillers) {
-                fill.close();
+            for (SocketChannel filler : backlogFillers) {
+                filler.close();
             }
             backlogFillers.clear();
             unresponsiveListener.close();
@@ -238,43 +246,44 @@
         }
     }
 
-    private void connectionAccepted(Channel asker) {
+    private void connectionAccepted(Channel client) {
         opened++;
-        RelayedConnection pair = new RelayedConnection(asker);
-        connections.add(pair);
-        asker.pipeline().addLast(pair.forward);
+        RelayedConnection connection = new RelayedConnection(client);
+        connections.add(connection);
+        client.pipeline().addLast(connection.forward);
         new Bootstrap().group(loop).channelFactory(TcpRelay::connection).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TCP_CONNECT_TIMEOUT_MS)
-                .handler(pair.reverse).localAddress(sourceAddress).connect(targetAddress).addListener(done -> {
-                    pair.reverse.source = ((ChannelFuture) done).channel();
-                    if (done.isSuccess() && connections.contains(pair)) {
-                        pair.forward.target = pair.reverse.source;
-                        pair.forward.source.config().setAutoRead(true);
-                        pair.reverse.source.config().setAutoRead(true);
-                        pair.forward.drain();
+                .handler(connection.reverse).localAddress(sourceAddress).connect(targetAddress).addListener(done -> {
+                    connection.reverse.source = ((ChannelFuture) done).channel();
+                    if (done.isSuccess() && connections.contains(connection)) {
+                        connection.forward.target = connection.reverse.source;
+                        connection.forward.source.config().setAutoRead(true);
+                        connection.reverse.source.config().setAutoRead(true);
+                        connection.forward.drain();
                     } else {
-                        pair.reset();
+                        connection.reset();
                     }
                 });
     }
 
+    /** A connection that was accepted, together with the one to the target. */
     private final class RelayedConnection {
         final Forwarder forward;
         final Forwarder reverse;
 
-        RelayedConnection(Channel asker) {
+        RelayedConnection(Channel client) {
             forward = new Forwarder(this, TcpRelay.this.forward);
             reverse = new Forwarder(this, TcpRelay.this.reverse);
-            forward.source = asker;
-            reverse.target = asker;
+            forward.source = client;
+            reverse.target = client;
         }
 
         void reset() {
             connections.remove(this);
-            for (Channel one : new Channel[] {forward.source, reverse.source}) {
-                if (one != null && one.isOpen()) {
-                    one.config().setOption(ChannelOption.SO_LINGER, 0);
-                    one.close();
+            for (Channel channel : new Channel[] {forward.source, reverse.source}) {
+                if (channel != null && channel.isOpen()) {
+                    channel.config().setOption(ChannelOption.SO_LINGER, 0);
+                    channel.close();
                 }
             }
             forward.releaseQueue();
@@ -282,9 +291,9 @@
         }
     }
 
-    /** What goes one way of one connection, in order. */
+    /** Forwards the data of one direction of one connection, in order. */
     private final class Forwarder extends ChannelInboundHandlerAdapter {
-        /** bytes: null where the sender has closed; first: it is the half that still goes through. */
+        /** bytes: null where the sender has closed; dueAt: nanoTime; isFirstHalf: it is the half that passes although HALF applies. */
         private record Chunk(ByteBuf bytes, long dueAt, boolean isFirstHalf) { }
 
         private final RelayedConnection connection;
@@ -292,21 +301,22 @@
         private final Deque<Chunk> queue = new ArrayDeque<>();
         private Channel source;
         private Channel target;
+        /** When the last chunk is due (nanoTime): a later one is not sent before it. */
         private long lastDueAt;
         private int bufferedBytes;
         private boolean drainScheduled;
 
-        Forwarder(RelayedConnection pair, LinkDirection way) {
-            this.connection = pair;
-            this.direction = way;
+        Forwarder(RelayedConnection connection, LinkDirection direction) {
+            this.connection = connection;
+            this.direction = direction;
         }
 
         @Override public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             int size = bytes.readableBytes();
-            int passes = direction.passedBytes(size);
-            if (passes < size) {
-                enqueue(bytes.readRetainedSlice(passes), true);
+            int passedBytes = direction.passedBytes(size);
+            if (passedBytes < size) {
+                enqueue(bytes.readRetainedSlice(passedBytes), true);
             }
             enqueue(bytes, false);
             bufferedBytes += size;
@@ -316,10 +326,10 @@
             drain();
         }
 
-        private void enqueue(ByteBuf bytes, boolean first) {
-            long begins = Math.max(System.nanoTime() + direction.delayNanos(random), lastDueAt);
-            lastDueAt = begins + (bytes == null ? 0 : direction.transferNanos(bytes.readableBytes()));
-            queue.addLast(new Chunk(bytes, lastDueAt, first));
+        private void enqueue(ByteBuf bytes, boolean isFirstHalf) {
+            long startsAt = Math.max(System.nanoTime() + direction.delayNanos(random), lastDueAt);
+            lastDueAt = startsAt + (bytes == null ? 0 : direction.transferNanos(bytes.readableBytes()));
+            queue.addLast(new Chunk(bytes, lastDueAt, isFirstHalf));
         }
 
         @Override public void channelInactive(ChannelHandlerContext context) {
@@ -330,23 +340,23 @@
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // The party's side was reset: so is the other, but not across a cut.
+            // One side was reset, so the other is reset too, but a reset doesn't pass a cut.
             if (!direction.isCut()) {
                 connection.reset();
             }
         }
 
-        /** Passes on what may go by now. */
+        /** Writes the chunks that are due, and resumes reading where there is room again. */
         void drain() {
-            boolean wrote = false;
+            boolean written = false;
             while (target != null && !queue.isEmpty()) {
                 Chunk next = queue.peekFirst();
-                long early = next.dueAt - System.nanoTime();
+                long nanosToWait = next.dueAt - System.nanoTime();
                 if (direction.isCut() || direction.isTruncating() && !next.isFirstHalf) {
                     break;
                 }
-                if (early > 0) {
-                    drainLater(early);
+                if (nanosToWait > 0) {
+                    drainLater(nanosToWait);
                     break;
                 }
                 queue.pollFirst();
@@ -357,9 +367,9 @@
                 }
                 bufferedBytes -= next.bytes.readableBytes();
                 target.write(next.bytes);
-                wrote = true;
+                written = true;
             }
-            if (wrote) {
+            if (written) {
                 target.flush();
             }
             if (bufferedBytes < BUFFER_BYTES / 2 && source != null && target != null && !source.config().isAutoRead()) {
@@ -378,9 +388,9 @@
         }
 
         void releaseQueue() {
-            queue.forEach(piece -> {
-                if (piece.bytes != null) {
-                    piece.bytes.release();
+            queue.forEach(chunk -> {
+                if (chunk.bytes != null) {
+                    chunk.bytes.release();
                 }
             });
             queue.clear();
--- a/relay/src/main/java/wrenreach/relay/UdpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/UdpRelay.java
@@ -15,16 +15,16 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Datagrams between two parties, passed on as the two ways of their link allow. Each party knows the other by an address of
- * the relay's: what one sends there comes to the other from the address by which that one knows the sender. All of it belongs
- * to one loop. Memory: at most {@link #UNDER_WAY} datagrams are held, more are lost.
+ * Relays datagrams between two parties, as the two directions of their link allow. Each party knows the other by an address
+ * of the relay: what it sends there reaches the other party from the address by which that one knows the sender. All methods
+ * run on one event loop. Memory: about {@link #MAX_QUEUED_DATAGRAMS} delayed datagrams are held, more are lost.
  */
 public final class UdpRelay {
-    /** Datagrams of both ways that are held at once. */
+    /** Delayed datagrams of both directions together; while so many are held, others are lost. */
     public static final int MAX_QUEUED_DATAGRAMS = 4096;
     private static final int MAX_DATAGRAM_BYTES = 65_535;
 
-    /** One party: where it is, and the address by which it knows the other. */
+    /** One party: its own address, and the address of the relay by which it knows the other party. */
     public record Side(InetSocketAddress party, InetSocketAddress peerAddress) { }
 
     private final EventLoop loop;
@@ -39,71 +39,72 @@
     private long passed;
     private long lost;
 
-    /** there: from a to b. */
-    public UdpRelay(EventLoop loop, Side a, Side b, LinkDirection there, LinkDirection back, DoubleSupplier chance) {
+    /** aToB: the direction from a to b; random: from 0 to below 1. */
+    public UdpRelay(EventLoop loop, Side a, Side b, LinkDirection aToB, LinkDirection bToA, DoubleSupplier random) {
         this.loop = loop;
         this.a = a;
         this.b = b;
-        this.aToB = there;
-        this.bToA = back;
-        this.random = chance;
+        this.aToB = aToB;
+        this.bToA = bToA;
+        this.random = random;
     }
 
-    /** Binds both addresses; the future of the later one. */
+    /** Binds both addresses; returns the future of the second one. */
     public ChannelFuture start() {
-        ChannelFuture first = bind(a, aToB, b);
-        channelA = first.channel();
-        ChannelFuture second = bind(b, bToA, a);
-        channelB = second.channel();
-        return second;
+        ChannelFuture bindingA = bind(a, aToB, b);
+        channelA = bindingA.channel();
+        ChannelFuture bindingB = bind(b, bToA, a);
+        channelB = bindingB.channel();
+        return bindingB;
     }
 
-    /** It is gone: what comes to its addresses is lost. */
+    /** Closes both addresses: what is sent to them from here on is lost. */
     public void stop() {
         channelA.close();
         channelB.close();
     }
 
-    /** Datagrams passed on so far, and lost here. */
+    /** The number of datagrams forwarded so far, copies included. */
     public long passed() {
         return passed;
     }
 
+    /** The number of datagrams lost so far to impairments, to the limit, or because a party had no socket. */
     public long lost() {
         return lost;
     }
 
-    private ChannelFuture bind(Side from, LinkDirection way, Side to) {
+    private ChannelFuture bind(Side from, LinkDirection direction, Side to) {
         return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
                         if (packet.sender().equals(from.party)) {
-                            forward(packet, way, to);
+                            forward(packet, direction, to);
                         }
                     }
 
                     @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        // The other party has no socket just now: its datagrams are lost, as on any network.
+                        // A party has no socket at present: datagrams to it are lost, as on any network.
                         lost++;
                     }
                 }).bind(from.peerAddress);
     }
 
-    private void forward(DatagramPacket packet, LinkDirection way, Side to) {
-        int copies = queuedDatagrams >= MAX_QUEUED_DATAGRAMS ? 0 : way.copies(random);
+    private void forward(DatagramPacket packet, LinkDirection direction, Side to) {
+        int copies = queuedDatagrams >= MAX_QUEUED_DATAGRAMS ? 0 : direction.copies(random);
         lost += copies == 0 ? 1 : 0;
         for (int i = 0; i < copies; i++) {
             DatagramPacket copy = new DatagramPacket(packet.content().copy(), to.party);
-            long late = way.delayNanos(random) + way.reorderingDelayNanos(random) + way.transferNanos(copy.content().readableBytes());
-            if (late == 0) {
+            long delayNanos = direction.delayNanos(random) + direction.reorderingDelayNanos(random) + direction.transferNanos(copy.content().readableBytes());
+            if (delayNanos == 0) {
                 send(copy, to);
             } else {
                 queuedDatagrams++;
                 loop.schedule(() -> {
                     queuedDatagrams--;
                     send(copy, to);
-                }, late, TimeUnit.NANOSECONDS);
+                }, delayNanos, TimeUnit.NANOSECONDS);
             }
         }
     }
--- a/relay/src/test/java/wrenreach/relay/RelayTest.java
+++ b/relay/src/test/java/wrenreach/relay/RelayTest.java
@@ -22,9 +22,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Relays between sockets of the test's own on loopback. */
+/** Tests the relays between sockets on loopback. */
 class RelayTest {
-    private static final int TIMEOUT_MS = 20_000, SILENCE_MS = 300;
+    /** Limit on waiting for what has to come. */
+    private static final int TIMEOUT_MS = 20_000;
+    /** How long nothing may come where nothing is expected. */
+    private static final int SILENCE_MS = 300;
     private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -67,7 +70,7 @@
         }).get();
     }
 
-    /** What the loop has been told shows at the sockets a moment later. */
+    /** Repeats a check until it passes, as a change made on the event loop shows at the sockets only a moment later. */
     private static void retryUntilPasses(Task work) throws Exception {
         for (int i = 0;; i++) {
             try {
@@ -82,12 +85,12 @@
         }
     }
 
-    private void setImpairment(LinkDirection way, Impairment trouble, boolean on) throws Exception {
+    private void setImpairment(LinkDirection direction, Impairment impairment, boolean on) throws Exception {
         runOnLoop(() -> {
             if (on) {
-                way.begin(trouble);
+                direction.begin(impairment);
             } else {
-                way.end(trouble);
+                direction.end(impairment);
             }
             relay.changed();
         });
@@ -134,7 +137,7 @@
             Socket late = new Socket();
             assertThatThrownBy(() -> late.connect(relayAddress, SILENCE_MS)).isInstanceOf(SocketTimeoutException.class);
             setImpairment(forward, CUT, false);
-            assertSilent(b); // Two cuts overlapped: the other one goes on.
+            assertSilent(b); // Two cuts overlapped: one of them still applies.
             setImpairment(forward, CUT, false);
             assertThat(new String(b.getInputStream().readNBytes(4))).isEqualTo("held");
             retryUntilPasses(() -> connect().close());
@@ -181,15 +184,15 @@
         }
     }
 
-    /** Delays are summed where they overlap; a rate spreads a large piece; the order stays. */
+    /** Overlapping delays are summed and the lowest rate applies; the order of the data stays. */
     @Test void delayedAndRateLimitedDataArrivesLateAndInOrder() throws Exception {
-        LinkDirection way = new LinkDirection();
-        way.begin(new Impairment(Impairment.Kind.DELAY, 40, 20));
-        way.begin(new Impairment(Impairment.Kind.DELAY, 100, 0));
-        way.begin(new Impairment(Impairment.Kind.RATE, 1000, 0));
-        way.begin(new Impairment(Impairment.Kind.RATE, 500, 0));
-        assertThat(way.delayNanos(() -> 0.5)).isEqualTo(150_000_000);
-        assertThat(way.transferNanos(50)).isEqualTo(100_000_000);
+        LinkDirection direction = new LinkDirection();
+        direction.begin(new Impairment(Impairment.Kind.DELAY, 40, 20));
+        direction.begin(new Impairment(Impairment.Kind.DELAY, 100, 0));
+        direction.begin(new Impairment(Impairment.Kind.RATE, 1000, 0));
+        direction.begin(new Impairment(Impairment.Kind.RATE, 500, 0));
+        assertThat(direction.delayNanos(() -> 0.5)).isEqualTo(150_000_000);
+        assertThat(direction.transferNanos(50)).isEqualTo(100_000_000);
         try (Socket a = connect(); Socket b = target.accept()) {
             b.setSoTimeout(TIMEOUT_MS);
             assertPasses(a, b, "x");
@@ -226,12 +229,12 @@
             send(b, bKnows, "5");
             assertThat(receive(a, aKnows)).isEqualTo("5");
             setImpairment(forward, loss, false);
-            Impairment late = new Impairment(Impairment.Kind.REORDERING, 0.6, 800);
-            setImpairment(reverse, late, true);
+            Impairment reordering = new Impairment(Impairment.Kind.REORDERING, 0.6, 800);
+            setImpairment(reverse, reordering, true);
             send(b, bKnows, "6");
-            runOnLoop(() -> { }); // The relay has read it before the way changes.
+            runOnLoop(() -> { }); // The relay has to read the datagram before the impairment ends.
             retryUntilPasses(() -> assertThat(udp.passed()).isEqualTo(5));
-            setImpairment(reverse, late, false);
+            setImpairment(reverse, reordering, false);
             send(b, bKnows, "7");
             assertThat(List.of(receive(a, aKnows), receive(a, aKnows))).containsExactlyInAnyOrder("7", "6");
             assertThat(udp.lost()).isEqualTo(1);
