--- a/lists/src/main/java/wrenreach/lists/ListFiles.java
+++ b/lists/src/main/java/wrenreach/lists/ListFiles.java
@@ -41,11 +41,11 @@
     private static final int MAX_MANIFEST_BYTES = 1 << 20;
     /** Parts that a manifest may name. */
     private static final int MAX_PARTS = 256;
-    /** Length of a text field, in characters. */
+    /** Longest text field, in characters. */
     private static final int MAX_TEXT_CHARS = 256;
-    /** Leading hexadecimal digits of the digest over all parts that serve as the fingerprint of a list. */
+    /** How many leading hexadecimal digits of the digest over all parts make the fingerprint of a list. */
     private static final int FINGERPRINT_CHARS = 12;
-    /** Weight of an endpoint, without a unit. */
+    /** Largest weight of an endpoint; weights are relative and have no unit. */
     private static final double MAX_WEIGHT = 1e9;
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
@@ -161,7 +161,7 @@
                 } catch (InvalidListException e) {
                     invalid = e;
                 }
-                // The digest is checked before any syntax error is reported: a part that is still being written has errors that are not its writer's fault.
+                // The digest is checked before a syntax error is reported: a part that is still being written has errors that are not its writer's fault.
                 String digest = in.digest();
                 if (!digest.equals(part.sha256)) {
                     throw new InvalidListException(file, 0, "its SHA-256 is " + digest + ", the manifest says " + part.sha256
--- a/lists/src/test/java/wrenreach/lists/ListFilesTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListFilesTest.java
@@ -104,7 +104,10 @@
         assertThatThrownBy(() -> ListFiles.parseManifest(FILE, bytes)).hasMessageContaining("a name beside the manifest");
     }
 
-    /** A part is parsed while its digest is computed: with a wrong digest it is reported as incomplete, whatever its syntax errors; with the right one they are. */
+    /**
+     * A part is parsed while its digest is computed. With a wrong digest it is reported as not written whole, whatever its
+     * syntax errors; with the right digest, its syntax error is reported.
+     */
     @ParameterizedTest
     @CsvSource({"true, 'can''t be read as JSON'", "false, not written whole"})
     void aWrongDigestIsReportedBeforeSyntaxErrors(boolean digestMatches, String message) throws Exception {
--- a/lists/src/test/java/wrenreach/lists/ListsBench.java
+++ b/lists/src/test/java/wrenreach/lists/ListsBench.java
@@ -96,11 +96,11 @@
                 byte[] manifest = ListFiles.write(new ListFiles.Manifest("large " + step, "",
                         List.of(new ListFiles.Part("part", ListFiles.sha256Hex(part)))));
                 longestGap.set(0);
-                long accepted = setup.status().acceptedCount();
+                long acceptedBefore = setup.status().acceptedCount();
                 long replacedAt = System.nanoTime();
                 ListFiles.replaceAtomically(folder.resolve("manifest.json"), manifest);
                 boolean unchanged = step == steps.length - 1;
-                while (!unchanged && setup.status().acceptedCount() == accepted) {
+                while (!unchanged && setup.status().acceptedCount() == acceptedBefore) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
                 setup.node.loop().submit(() -> { }).sync();
--- a/lists/src/test/java/wrenreach/lists/ListsOnLoopbackTest.java
+++ b/lists/src/test/java/wrenreach/lists/ListsOnLoopbackTest.java
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Guards draining: a list that omits one endpoint arrives while mails are in flight. Half a second after the node read
+     * Tests draining: a list that omits one endpoint arrives while mails are in flight. Half a second after the node read
      * it, no call goes to that endpoint any more, calls in flight end, and no mail is lost or sent twice.
      */
     @Test void anEndpointMissingFromANewListIsDrainedWithoutLoss() throws Exception {
@@ -53,7 +53,7 @@
             assertThat(delivered).doesNotHaveDuplicates().containsExactlyInAnyOrderElementsOf(accepted);
             assertThat(setup.notices).isEmpty();
         }
-        // How many mails the decisions refuse depends on the machine's speed; this many accepted ones show that the test tests something.
+        // How many mails the decisions refuse depends on the machine's speed; with too few accepted ones the test would show nothing.
         assertThat(accepted).hasSizeGreaterThan(300);
         assertThat(Journal.read(folder.resolve("state"))).isEmpty();
     }
--- a/lists/src/test/java/wrenreach/lists/Loopback.java
+++ b/lists/src/test/java/wrenreach/lists/Loopback.java
@@ -40,7 +40,7 @@
     private Socket client;
 
     /** responseDelayMs: how long a receiver takes to respond. The first list names all receivers as r0, r1... of destination 1. */
-    Loopback(Path folder, int count, int responseDelayMs, ListsSection section) throws Exception {
+    Loopback(Path folder, int receiverCount, int responseDelayMs, ListsSection section) throws Exception {
         this.folder = folder;
         platform = newServer();
         platform.createContext("/", exchange -> {
@@ -53,11 +53,11 @@
             exchange.close();
         });
         platform.start();
-        for (int i = 0; i < count; i++) {
-            int number = i;
+        for (int i = 0; i < receiverCount; i++) {
+            int index = i;
             HttpServer receiver = newServer();
             receiver.createContext("/", exchange -> {
-                calls.add(new ReceivedCall(exchange.getRequestHeaders().getFirst("X-Call-Id"), number, System.nanoTime()));
+                calls.add(new ReceivedCall(exchange.getRequestHeaders().getFirst("X-Call-Id"), index, System.nanoTime()));
                 exchange.getRequestBody().readAllBytes();
                 try {
                     Thread.sleep(responseDelayMs);
@@ -70,11 +70,11 @@
             receiver.start();
             receivers.add(receiver);
         }
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            all.add(i);
+        List<Integer> allReceivers = new ArrayList<>();
+        for (int i = 0; i < receiverCount; i++) {
+            allReceivers.add(i);
         }
-        publish("first", all);
+        publish("first", allReceivers);
         String json = Files.readString(Path.of("deploy/sample.json")).replace("127.0.0.1:9",
                 "127.0.0.1:" + platform.getAddress().getPort());
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
--- a/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
+++ b/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
@@ -205,17 +205,17 @@
         publish("both", "", "a", "b", "c");
         start(0.5);
         awaitServing("a", "b", "c");
-        String print = publish("one left", "", "a");
-        assertThat(awaitStatus(s -> !s.heldFingerprint().isEmpty()).heldFingerprint()).isEqualTo(print);
+        String fingerprint = publish("one left", "", "a");
+        assertThat(awaitStatus(status -> !status.heldFingerprint().isEmpty()).heldFingerprint()).isEqualTo(fingerprint);
         assertThat(command(1, "status", kept().toString())).contains("in force: ").contains("\"both\", 3 endpoints")
-                .contains("held back: " + print + " \"one left\"")
+                .contains("held back: " + fingerprint + " \"one left\"")
                 .contains("zone n would lose 2 of 3 endpoints, at most 50% may go");
         publish("one left", "000000000000", "a");
-        publish("one left", print, "a");
+        publish("one left", fingerprint, "a");
         awaitServing("a");
         assertThat(seen).isSubsetOf(Set.of(), Set.of("a", "b", "c"), Set.of("a"));
         // The status is written after the node has got the list.
-        awaitStatus(s -> s.label().equals("one left") && s.heldFingerprint().isEmpty());
+        awaitStatus(status -> status.label().equals("one left") && status.heldFingerprint().isEmpty());
         assertThat(command(0, "status", kept().toString())).contains("\"one left\", 1 endpoints").doesNotContain("held");
     }
 
@@ -227,7 +227,7 @@
         Files.writeString(manifest(), "{");
         start(0.5);
         awaitServing("a", "b");
-        assertThat(awaitStatus(s -> !s.fault().isEmpty()).fault()).contains("manifest.json:1: can't be read as JSON");
+        assertThat(awaitStatus(status -> !status.fault().isEmpty()).fault()).contains("manifest.json:1: can't be read as JSON");
         assertThat(command(1, "status", kept().toString())).contains("can't be read since");
         publish("next", "", "a", "b", "c");
         awaitServing("a", "b", "c");
@@ -249,15 +249,15 @@
         Files.move(Files.createSymbolicLink(folder.resolve("next"), second), current, StandardCopyOption.ATOMIC_MOVE);
         awaitServing("two");
         // Same timestamp and length: only the content shows the change.
-        FileTime stamp = Files.getLastModifiedTime(second.resolve("manifest.json"));
+        FileTime timestamp = Files.getLastModifiedTime(second.resolve("manifest.json"));
         byte[] part = part("six");
         Files.write(second.resolve("part"), part);
         Path next = Files.write(second.resolve("next"), manifest("l", "", Map.of("part", part)));
-        Files.setLastModifiedTime(next, stamp);
+        Files.setLastModifiedTime(next, timestamp);
         Files.move(next, second.resolve("manifest.json"), StandardCopyOption.ATOMIC_MOVE);
         awaitServing("six");
         Files.delete(second.resolve("manifest.json"));
-        awaitStatus(s -> s.fault().endsWith("no such file"));
+        awaitStatus(status -> status.fault().endsWith("no such file"));
         Files.write(second.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
         awaitStatus(Status::isHealthy);
         assertThat(servingSets).allMatch(names -> names.equals(Set.of("six")));
--- a/relay/src/main/java/wrenreach/relay/LinkDirection.java
+++ b/relay/src/main/java/wrenreach/relay/LinkDirection.java
@@ -54,7 +54,10 @@
         return isTruncating;
     }
 
-    /** How many bytes of a piece of this size pass: half of it if HALF applies and has not struck yet, which then blocks what follows; else all of it. */
+    /**
+     * How many of a piece's bytes pass: half of them for the first piece while HALF applies, after which {@link #isTruncating}
+     * blocks the rest; else all.
+     */
     public int passedBytes(int bytes) {
         if (isTruncating || !has(Impairment.Kind.HALF)) {
             return bytes;
