--- a/lists/src/main/java/wrenreach/lists/ListsCommand.java
+++ b/lists/src/main/java/wrenreach/lists/ListsCommand.java
@@ -12,10 +12,12 @@
 import wrenreach.frame.Command;
 import wrenreach.endpoints.ListUpdate;
 
-/** wrenreach lists check|make|status. */
+/** The command "wrenreach lists check|make|status". Exit code 0: fine; 1: status shows a held-back list or a fault; 2: an error. */
 final class ListsCommand implements Command {
-    private static final ListFiles.Bounds BOUNDS = new ListFiles.Bounds(1L << 30, 1_000_000, 65_536);
-    private static final String LABEL = "--label=", CONFIRM = "--confirm";
+    /** The largest values that the operator's file allows: the command doesn't know those of a node. */
+    private static final ListFiles.Bounds LIMITS = new ListFiles.Bounds(1L << 30, 1_000_000, 65_536);
+    private static final String LABEL_OPTION = "--label=";
+    private static final String CONFIRM_OPTION = "--confirm";
 
     @Override public String name() {
         return "lists";
@@ -48,18 +50,18 @@
     }
 
     private static void check(Path file, PrintStream out) throws InvalidListException {
-        ListFiles.Found found = ListFiles.find(file);
-        ListFiles.Manifest manifest = ListFiles.manifest(found.real(), found.bytes());
-        Generation list = ListFiles.read(found, manifest, BOUNDS, null);
+        ListFiles.ManifestFile manifestFile = ListFiles.loadManifest(file);
+        ListFiles.Manifest manifest = ListFiles.parseManifest(manifestFile.realPath(), manifestFile.bytes());
+        Generation list = ListFiles.readList(manifestFile, manifest, LIMITS, null);
         Map<String, Integer> zones = new TreeMap<>();
         Map<String, Integer> serving = new TreeMap<>();
         for (ListUpdate.Entry entry : list.endpoints().values()) {
             zones.merge(entry.zone(), 1, Integer::sum);
-            serving.merge(entry.zone(), Generation.serves(entry) ? 1 : 0, Integer::sum);
+            serving.merge(entry.zone(), Generation.isServing(entry) ? 1 : 0, Integer::sum);
         }
-        out.printf("%s \"%s\": %d endpoints of %d destinations in %d parts%s%n", list.print(), list.label(),
-                list.endpoints().size(), list.serving().size(), manifest.parts().size(),
-                manifest.confirm().isEmpty() ? "" : manifest.confirm().equals(list.print()) ? ", confirmed"
+        out.printf("%s \"%s\": %d endpoints of %d destinations in %d parts%s%n", list.fingerprint(), list.label(),
+                list.endpoints().size(), list.servingCounts().size(), manifest.parts().size(),
+                manifest.confirm().isEmpty() ? "" : manifest.confirm().equals(list.fingerprint()) ? ", confirmed"
                         : ", confirms another list: " + manifest.confirm());
         zones.forEach((zone, count) -> out.printf("  zone %-12s %d endpoints, %d of them serving%n",
                 zone.isEmpty() ? "\"\"" : zone, count, serving.get(zone)));
@@ -70,40 +72,40 @@
         boolean confirm = false;
         List<ListFiles.Part> parts = new ArrayList<>();
         for (String word : words) {
-            if (word.startsWith(LABEL)) {
-                label = word.substring(LABEL.length());
-            } else if (word.equals(CONFIRM)) {
+            if (word.startsWith(LABEL_OPTION)) {
+                label = word.substring(LABEL_OPTION.length());
+            } else if (word.equals(CONFIRM_OPTION)) {
                 confirm = true;
             } else {
-                parts.add(new ListFiles.Part(word, ListFiles.sum(Files.readAllBytes(file.resolveSibling(word)))));
+                parts.add(new ListFiles.Part(word, ListFiles.sha256Hex(Files.readAllBytes(file.resolveSibling(word)))));
             }
         }
         ListFiles.Manifest manifest = new ListFiles.Manifest(label, "", parts);
-        manifest = new ListFiles.Manifest(label, confirm ? manifest.print() : "", parts);
+        manifest = new ListFiles.Manifest(label, confirm ? manifest.fingerprint() : "", parts);
         byte[] bytes = ListFiles.write(manifest);
-        // Nothing is put in place that a node would not read.
-        Generation list = ListFiles.read(new ListFiles.Found(file.toAbsolutePath(), bytes),
-                ListFiles.manifest(file, bytes), BOUNDS, null);
-        ListFiles.replace(file, bytes);
-        out.printf("%s: %s \"%s\", %d endpoints%n", file, list.print(), list.label(), list.endpoints().size());
+        // The list is read back first, so that no manifest is published that a node would refuse.
+        Generation list = ListFiles.readList(new ListFiles.ManifestFile(file.toAbsolutePath(), bytes),
+                ListFiles.parseManifest(file, bytes), LIMITS, null);
+        ListFiles.replaceAtomically(file, bytes);
+        out.printf("%s: %s \"%s\", %d endpoints%n", file, list.fingerprint(), list.label(), list.endpoints().size());
     }
 
     private static int status(Path folder, PrintStream out) throws IOException {
-        Status s = Status.read(folder);
-        if (s.print().isEmpty()) {
+        Status status = Status.read(folder);
+        if (status.fingerprint().isEmpty()) {
             out.println("in force: no list yet");
         } else {
-            out.printf("in force: %s \"%s\", %d endpoints, since %s%n", s.print(), s.label(), s.endpoints(),
-                    Instant.ofEpochMilli(s.since()));
+            out.printf("in force: %s \"%s\", %d endpoints, since %s%n", status.fingerprint(), status.label(), status.endpointCount(),
+                    Instant.ofEpochMilli(status.inForceSince()));
         }
-        if (!s.heldPrint().isEmpty()) {
-            out.printf("held back: %s \"%s\" since %s, until the manifest says \"confirm\": \"%s\"%n", s.heldPrint(),
-                    s.heldLabel(), Instant.ofEpochMilli(s.heldSince()), s.heldPrint());
-            s.reasons().forEach(reason -> out.println("  " + reason));
+        if (!status.heldFingerprint().isEmpty()) {
+            out.printf("held back: %s \"%s\" since %s, until the manifest says \"confirm\": \"%s\"%n", status.heldFingerprint(),
+                    status.heldLabel(), Instant.ofEpochMilli(status.heldSince()), status.heldFingerprint());
+            status.heldReasons().forEach(reason -> out.println("  " + reason));
         }
-        if (!s.fault().isEmpty()) {
-            out.printf("can't be read since %s: %s%n", Instant.ofEpochMilli(s.faultSince()), s.fault());
+        if (!status.fault().isEmpty()) {
+            out.printf("can't be read since %s: %s%n", Instant.ofEpochMilli(status.faultSince()), status.fault());
         }
-        return s.quiet() ? 0 : 1;
+        return status.isHealthy() ? 0 : 1;
     }
 }
--- a/lists/src/main/java/wrenreach/lists/WatchedLists.java
+++ b/lists/src/main/java/wrenreach/lists/WatchedLists.java
@@ -25,68 +25,74 @@
 import wrenreach.watch.FileWatch;
 
 /**
- * Lists of endpoints from watched files, in a node. A thread of its own reads, has the guard judge and keeps what is in
- * force; the loop is only told of whole lists, and the roster there turns each into what the module hears.
+ * Endpoint lists from watched files, in a node. The watching thread reads each list, lets the guard decide on it and stores
+ * the one in force. The event loop only gets complete lists; there the merger turns each into an update for the decisions.
  */
 final class WatchedLists implements RunningSubsystem<ListsSection>, FileWatch.ChangeHandler, ListFilter {
     private static final System.Logger LOG = System.getLogger(WatchedLists.class.getName());
-    static final String KEPT = "in-force.jsonl";
-    /** How long one line on a fault stands for those that follow, in microseconds. */
-    private static final long QUIET = 10_000_000;
-    /** Endpoints made ready in one go, and how long to wait for the loop to do it. */
-    private static final int PIECE = 500, PIECE_MS = 2000;
+    /** The file, in the folder kept, of the list in force: the next process starts with it. */
+    static final String IN_FORCE_FILE = "in-force.jsonl";
+    /** At most one line on unreadable files is logged in this time, in microseconds. */
+    private static final long FAULT_LOG_INTERVAL_MICROS = 10_000_000;
+    /** Endpoints that are prepared in one task of the event loop. */
+    private static final int PREPARE_BATCH = 500;
+    /** How long to wait for the event loop to run such a task, in milliseconds. */
+    private static final int PREPARE_TIMEOUT_MS = 2000;
 
     private final NodeContext host;
     private final AtomicReference<ListsSection> section;
-    private final Path kept;
+    private final Path keptFolder;
     private final FileWatch watch;
-    // The loop's.
-    private final Roster roster;
-    private long dueAt = Long.MAX_VALUE;
-    // The watching thread's.
+    // Used on the event loop only.
+    private final EndpointMerger merger;
+    private long nextRemovalAt = Long.MAX_VALUE;
+    // Used on the watching thread only, and by the constructor.
     private final ListGuard guard;
-    private Status status = Status.none();
-    private byte[] settled = new byte[0];
+    private Status status = Status.empty();
+    /** The bytes of the manifest that was read and decided on last: the same bytes need no new decision. */
+    private byte[] handledManifest = new byte[0];
+    /** What was wrong when the files were read last; null: nothing. */
     private InvalidListException fault;
-    private String faultTold = "";
-    private long quietUntil = Long.MIN_VALUE;
+    /** The fault that was logged last and has not been mended since; "": none. */
+    private String loggedFault = "";
+    private long faultLogSilentUntil = Long.MIN_VALUE;
 
     WatchedLists(ListsSection section, NodeContext host) throws Subsystem.StartException {
         this.section = new AtomicReference<>(section);
         this.host = host;
-        kept = section.kept();
+        keptFolder = section.kept();
         try {
-            Files.createDirectories(kept);
+            Files.createDirectories(keptFolder);
         } catch (IOException e) {
-            throw new Subsystem.StartException("the folder kept = " + kept + " can't be used: " + e);
+            throw new Subsystem.StartException("the folder kept = " + keptFolder + " can't be used: " + e);
         }
-        guard = new ListGuard(section.limits(), earlier(section));
+        guard = new ListGuard(section.limits(), readPreviousList(section));
         fileChanged();
         if (fault != null) {
-            tellFault(fault.getMessage());
+            reportFault(fault.getMessage());
         }
-        roster = new Roster(section.scope().equals("all"), section.drain(), guard.inForce());
+        merger = new EndpointMerger(section.scope().equals("all"), section.drain(), guard.inForce());
         watch = new FileWatch("wrenreach-lists", () -> List.of(section.manifest()), section.look(), section.patience(),
                 this);
     }
 
-    /** The list that an earlier process went by. */
-    private Generation earlier(ListsSection from) throws Subsystem.StartException {
-        Path file = kept.resolve(KEPT);
+    /** Reads the list that an earlier process used; null: none is stored. */
+    private Generation readPreviousList(ListsSection settings) throws Subsystem.StartException {
+        Path file = keptFolder.resolve(IN_FORCE_FILE);
         if (!Files.exists(file)) {
             return null;
         }
         try {
-            Generation list = ListFiles.reread(file, from.bounds());
-            status = status.inForce(list, System.currentTimeMillis());
+            Generation list = ListFiles.readStored(file, settings.bounds());
+            status = status.withInForce(list, System.currentTimeMillis());
             return list;
         } catch (InvalidListException e) {
-            // A guess at which endpoints there are would be worse than not to start.
+            // Without this list the node would have to guess which endpoints there are, which is worse than not starting.
             throw new Subsystem.StartException("the list kept can't be read, remove it to start without: " + e.getMessage());
         }
     }
 
-    // ---- On the loop ----
+    // ---- On the event loop ----
 
     @Override public void serving() {
         watch.start();
@@ -98,39 +104,39 @@
 
     @Override public void reloaded(ListsSection newer) {
         section.set(newer);
-        roster.drainFor(newer.drain());
+        merger.setDrainTime(newer.drain());
     }
 
     @Override public Optional<ListFilter> listFilter() {
         return Optional.of(this);
     }
 
-    @Override public ListUpdate filter(ListUpdate line, long now) {
-        ListUpdate changes = roster.discovered(line, now);
-        drainLater(now);
+    @Override public ListUpdate filter(ListUpdate update, long now) {
+        ListUpdate changes = merger.discoveryUpdated(update, now);
+        scheduleRemoval(now);
         return changes;
     }
 
-    private void take(Generation list, List<String> differing) {
+    private void applyOnLoop(Generation list, List<String> differing) {
         long now = host.now();
-        ListUpdate changes = roster.accepted(list, differing, now);
+        ListUpdate changes = merger.listAccepted(list, differing, now);
         host.updateEndpoints(changes);
-        drainLater(now);
+        scheduleRemoval(now);
     }
 
-    /** Has what is drained go when its time is up. */
-    private void drainLater(long now) {
-        long at = roster.dueAt();
-        if (at < dueAt) {
-            dueAt = at;
+    /** Schedules the removal of drained endpoints for the end of the earliest drain. */
+    private void scheduleRemoval(long now) {
+        long at = merger.nextRemovalAt();
+        if (at < nextRemovalAt) {
+            nextRemovalAt = at;
             host.schedule(() -> {
-                dueAt = Long.MAX_VALUE;
-                long then = host.now();
-                ListUpdate gone = roster.due(then);
-                if (!gone.entries().isEmpty()) {
-                    host.updateEndpoints(gone);
+                nextRemovalAt = Long.MAX_VALUE;
+                long later = host.now();
+                ListUpdate removed = merger.removeDrained(later);
+                if (!removed.entries().isEmpty()) {
+                    host.updateEndpoints(removed);
                 }
-                drainLater(then);
+                scheduleRemoval(later);
             }, Math.max(0, at - now));
         }
     }
@@ -138,27 +144,27 @@
     // ---- On the watching thread ----
 
     @Override public boolean fileChanged() {
-        ListsSection now = section.get();
-        guard.limit(now.limits());
+        ListsSection settings = section.get();
+        guard.setLimits(settings.limits());
         try {
-            ListFiles.Found found = ListFiles.find(now.manifest());
-            if (fault == null && Arrays.equals(found.bytes(), settled)) {
+            ListFiles.ManifestFile file = ListFiles.loadManifest(settings.manifest());
+            if (fault == null && Arrays.equals(file.bytes(), handledManifest)) {
                 return true;
             }
-            ListFiles.Manifest manifest = ListFiles.manifest(found.real(), found.bytes());
+            ListFiles.Manifest manifest = ListFiles.parseManifest(file.realPath(), file.bytes());
             Generation inForce = guard.inForce();
-            if (inForce == null || !manifest.print().equals(inForce.print())) {
-                judge(ListFiles.read(found, manifest, now.bounds(), inForce), manifest.confirm());
-            } else if (!status.quiet()) {
-                say(status.sound(System.currentTimeMillis()));
+            if (inForce == null || !manifest.fingerprint().equals(inForce.fingerprint())) {
+                judge(ListFiles.readList(file, manifest, settings.bounds(), inForce), manifest.confirm());
+            } else if (!status.isHealthy()) {
+                updateStatus(status.withReadable(System.currentTimeMillis()));
             }
-            settled = found.bytes();
-            if (fault != null && !faultTold.isEmpty()) {
+            handledManifest = file.bytes();
+            if (fault != null && !loggedFault.isEmpty()) {
                 LogEvent.log(LOG, Level.INFO, "lists.readable", "lists: {manifest} can be read again",
-                        "manifest", now.manifest());
+                        "manifest", settings.manifest());
             }
             fault = null;
-            faultTold = "";
+            loggedFault = "";
             return true;
         } catch (InvalidListException e) {
             fault = e;
@@ -168,82 +174,82 @@
 
     @Override public void stillUnfinished() {
         if (fault != null) {
-            tellFault(fault.getMessage());
+            reportFault(fault.getMessage());
         }
     }
 
-    /** Guards the log against a writer that is at fault again and again: one line a fault, and one in a while. */
-    private void tellFault(String what) {
+    /** Logs a fault once, and no faster than the interval: a writer that errs again and again would otherwise flood the log. */
+    private void reportFault(String what) {
         long now = host.now();
-        if (!what.equals(faultTold) && now >= quietUntil) {
-            faultTold = what;
-            quietUntil = now + QUIET;
+        if (!what.equals(loggedFault) && now >= faultLogSilentUntil) {
+            loggedFault = what;
+            faultLogSilentUntil = now + FAULT_LOG_INTERVAL_MICROS;
             LogEvent.log(LOG, Level.WARNING, "lists.fault", "lists: {fault}; the list in force stays", "fault", what);
         }
-        say(status.faulty(what, System.currentTimeMillis()));
+        updateStatus(status.withFault(what, System.currentTimeMillis()));
     }
 
     private void judge(Generation list, String confirm) {
-        Generation before = guard.inForce();
+        Generation previous = guard.inForce();
         ListGuard.Verdict verdict = guard.judge(list, confirm, host.now());
         if (verdict instanceof ListGuard.HeldBack held) {
             LogEvent.log(LOG, Level.WARNING, "lists.held", "lists: {print} \"{label}\" is held back until the manifest "
-                    + "confirms {print}: {reasons}", "print", list.print(), "label", list.label(), "reasons",
+                    + "confirms {print}: {reasons}", "print", list.fingerprint(), "label", list.label(), "reasons",
                     String.join("; ", held.reasons()));
-            say(status.heldBack(list, held.reasons(), System.currentTimeMillis()));
+            updateStatus(status.withHeldBack(list, held.reasons(), System.currentTimeMillis()));
         } else if (verdict instanceof ListGuard.Accepted accepted) {
-            if (roster != null) {
-                List<String> differing = Generation.differing(before, list);
+            if (merger != null) {
+                List<String> differingIds = Generation.differingIds(previous, list);
                 try {
-                    prepare(list, differing);
-                    host.loop().execute(() -> take(list, differing));
+                    prepareInBatches(list, differingIds);
+                    host.loop().execute(() -> applyOnLoop(list, differingIds));
                 } catch (RejectedExecutionException e) {
                     return; // The node has stopped.
                 }
             }
             LogEvent.log(LOG, Level.INFO, "lists.inforce", "lists: {print} \"{label}\" with {endpoints} endpoints is in "
-                    + "force{confirmed}", "print", list.print(), "label", list.label(), "endpoints",
+                    + "force{confirmed}", "print", list.fingerprint(), "label", list.label(), "endpoints",
                     list.endpoints().size(), "confirmed", accepted.confirmed() ? ", as confirmed" : "");
-            keep(list);
-            say(status.inForce(list, System.currentTimeMillis()));
+            store(list);
+            updateStatus(status.withInForce(list, System.currentTimeMillis()));
         }
     }
 
-    /** Guards the loop: what is new is made ready piece by piece, each after the turns that the one before held up. */
-    private void prepare(Generation list, List<String> differing) {
-        List<ListUpdate.Entry> entries = differing.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
-        for (int from = 0; entries.size() > PIECE && from < entries.size(); from += PIECE) {
-            List<ListUpdate.Entry> piece = entries.subList(from, Math.min(from + PIECE, entries.size()));
+    /** Prepares new endpoints in batches, each once the previous one is done, so that a large list doesn't hold up the event loop. */
+    private void prepareInBatches(Generation list, List<String> differingIds) {
+        List<ListUpdate.Entry> entries = differingIds.stream().map(list.endpoints()::get).filter(Objects::nonNull).toList();
+        for (int from = 0; entries.size() > PREPARE_BATCH && from < entries.size(); from += PREPARE_BATCH) {
+            List<ListUpdate.Entry> batch = entries.subList(from, Math.min(from + PREPARE_BATCH, entries.size()));
             try {
-                CompletableFuture.runAsync(() -> host.prepare(piece), host.loop()).get(PIECE_MS, TimeUnit.MILLISECONDS);
+                CompletableFuture.runAsync(() -> host.prepare(batch), host.loop()).get(PREPARE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             } catch (TimeoutException e) {
-                return; // The node stands still or has stopped: the rest is made ready when the list takes effect.
+                return; // The event loop is stalled or has stopped: the rest is prepared when the list takes effect.
             } catch (ExecutionException e) {
                 throw new IllegalStateException(e.getCause());
             }
         }
     }
 
-    private void keep(Generation list) {
+    private void store(Generation list) {
         try {
-            Path next = kept.resolve(KEPT + ".next");
+            Path next = keptFolder.resolve(IN_FORCE_FILE + ".next");
             try (OutputStream out = Files.newOutputStream(next)) {
                 ListFiles.write(out, list);
             }
-            Files.move(next, kept.resolve(KEPT), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(next, keptFolder.resolve(IN_FORCE_FILE), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             LogEvent.log(LOG, Level.WARNING, "lists.kept", "lists: {print} can't be kept for the next start: {why}",
-                    "print", list.print(), "why", e.getMessage());
+                    "print", list.fingerprint(), "why", e.getMessage());
         }
     }
 
-    private void say(Status next) {
+    private void updateStatus(Status next) {
         status = next;
         try {
-            next.write(kept);
+            next.write(keptFolder);
         } catch (IOException e) {
             LogEvent.log(LOG, Level.WARNING, "lists.status", "lists: status can't be written: {why}", "why", e.getMessage());
         }
--- a/lists/src/test/java/wrenreach/lists/Lists.java
+++ b/lists/src/test/java/wrenreach/lists/Lists.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import wrenreach.endpoints.ListUpdate;
 
-/** Small lists for tests: an endpoint a word, destination/name@zone, with a trailing ! where it drains. */
+/** Short notation of lists for tests: one word per endpoint, destination/name@zone, followed by ! if it is draining. */
 final class Lists {
     private Lists() { }
 
@@ -12,7 +12,7 @@
         boolean drains = word.endsWith("!");
         String[] parts = word.replace("!", "").split("[/@]");
         int destination = Integer.parseInt(parts[0]);
-        return new ListUpdate.Entry(Generation.id(destination, parts[1]), "127.0.0.1:9", parts[2], "small", destination,
+        return new ListUpdate.Entry(Generation.idOf(destination, parts[1]), "127.0.0.1:9", parts[2], "small", destination,
                 drains ? Generation.DRAINING : Generation.SERVING, 1);
     }
 
--- a/lists/src/test/java/wrenreach/lists/Loopback.java
+++ b/lists/src/test/java/wrenreach/lists/Loopback.java
@@ -25,12 +25,12 @@
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
 
-/** A node with watched lists among receivers, a platform and a client of the project's own, all on loopback. */
+/** Runs a node with watched lists together with stub receivers, a stub platform and a client, all on loopback. */
 final class Loopback implements Closeable {
-    /** One call that came: which mail, where, and when its first byte was read (nanoTime). */
-    record Came(String mail, int receiver, long at) { }
+    /** A call that a receiver got: the id of the mail, the index of the receiver, and when its handler started (nanoTime). */
+    record ReceivedCall(String mail, int receiver, long receivedAt) { }
 
-    final Queue<Came> calls = new ConcurrentLinkedQueue<>();
+    final Queue<ReceivedCall> calls = new ConcurrentLinkedQueue<>();
     final Queue<String> notices = new ConcurrentLinkedQueue<>();
     final Path folder;
     final DeliveryNode node;
@@ -39,10 +39,10 @@
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private Socket client;
 
-    /** answerAfterMs: how long a receiver takes. The first list names all receivers as r0, r1... of destination 1. */
-    Loopback(Path folder, int count, int answerAfterMs, ListsSection section) throws Exception {
+    /** responseDelayMs: how long a receiver takes to respond. The first list names all receivers as r0, r1... of destination 1. */
+    Loopback(Path folder, int receiverCount, int responseDelayMs, ListsSection section) throws Exception {
         this.folder = folder;
-        platform = serve();
+        platform = newServer();
         platform.createContext("/", exchange -> {
             String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
             boolean notice = exchange.getRequestURI().getPath().equals("/v2/finals");
@@ -53,14 +53,14 @@
             exchange.close();
         });
         platform.start();
-        for (int i = 0; i < count; i++) {
-            int number = i;
-            HttpServer receiver = serve();
+        for (int i = 0; i < receiverCount; i++) {
+            int index = i;
+            HttpServer receiver = newServer();
             receiver.createContext("/", exchange -> {
-                calls.add(new Came(exchange.getRequestHeaders().getFirst("X-Call-Id"), number, System.nanoTime()));
+                calls.add(new ReceivedCall(exchange.getRequestHeaders().getFirst("X-Call-Id"), index, System.nanoTime()));
                 exchange.getRequestBody().readAllBytes();
                 try {
-                    Thread.sleep(answerAfterMs);
+                    Thread.sleep(responseDelayMs);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -70,11 +70,11 @@
             receiver.start();
             receivers.add(receiver);
         }
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            all.add(i);
+        List<Integer> allReceivers = new ArrayList<>();
+        for (int i = 0; i < receiverCount; i++) {
+            allReceivers.add(i);
         }
-        put("first", all);
+        publish("first", allReceivers);
         String json = Files.readString(Path.of("deploy/sample.json")).replace("127.0.0.1:9",
                 "127.0.0.1:" + platform.getAddress().getPort());
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
@@ -82,8 +82,8 @@
         node = new DeliveryNode(config, Journal.open(state, config.diskBytes()), DeliveryDispatcher::new);
         node.add("lists", new WatchedLists(section, node));
         node.start();
-        InetSocketAddress door = node.serving().get(20, TimeUnit.SECONDS);
-        client = new Socket(door.getAddress(), door.getPort());
+        InetSocketAddress listenAddress = node.serving().get(20, TimeUnit.SECONDS);
+        client = new Socket(listenAddress.getAddress(), listenAddress.getPort());
         client.setTcpNoDelay(true);
         client.setSoTimeout(20_000);
     }
@@ -93,48 +93,48 @@
                 5_000_000, 1_000_000, 1 << 28, 1_000_000, 4096);
     }
 
-    private HttpServer serve() throws IOException {
+    private HttpServer newServer() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(threads);
         return server;
     }
 
-    /** Puts a list of these receivers in place; when the manifest's name was replaced (nanoTime). */
-    long put(String label, List<Integer> which) throws Exception {
+    /** Publishes a list of these receivers; returns the time just before the manifest was replaced (nanoTime). */
+    long publish(String label, List<Integer> indexes) throws Exception {
         Map<String, ListUpdate.Entry> entries = new LinkedHashMap<>();
-        for (int i : which) {
-            String id = Generation.id(1, "r" + i);
+        for (int i : indexes) {
+            String id = Generation.idOf(1, "r" + i);
             entries.put(id, new ListUpdate.Entry(id, "127.0.0.1:" + receivers.get(i).getAddress().getPort(), "home", "small",
                     1, Generation.SERVING, 1000));
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ListFiles.write(out, new Generation("", label, entries));
-        ListFiles.replace(folder.resolve("part"), out.toByteArray());
+        ListFiles.replaceAtomically(folder.resolve("part"), out.toByteArray());
         byte[] manifest = ListFiles.write(new ListFiles.Manifest(label, "",
-                List.of(new ListFiles.Part("part", ListFiles.sum(out.toByteArray())))));
-        long at = System.nanoTime();
-        ListFiles.replace(folder.resolve("manifest.json"), manifest);
-        return at;
+                List.of(new ListFiles.Part("part", ListFiles.sha256Hex(out.toByteArray())))));
+        long replacedAt = System.nanoTime();
+        ListFiles.replaceAtomically(folder.resolve("manifest.json"), manifest);
+        return replacedAt;
     }
 
-    /** Hands in a mail; what the node answers. */
-    String handIn(String id) throws IOException {
+    /** Submits a mail; returns the first line of the node's reply. */
+    String submit(String id) throws IOException {
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", "k" + id, id, "c=order,t=shop,d=15000,k=t" + id + ",dest=1", "body")) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
         client.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
-        StringBuilder answer = new StringBuilder();
+        StringBuilder reply = new StringBuilder();
         for (int c = client.getInputStream().read(); c != '\n'; c = client.getInputStream().read()) {
             if (c < 0) {
-                throw new IOException("closed after " + answer);
+                throw new IOException("closed after " + reply);
             }
-            answer.append((char) c);
+            reply.append((char) c);
         }
-        return answer.toString().strip();
+        return reply.toString().strip();
     }
 
-    /** What the node says of its lists. */
+    /** The status of its lists that the node wrote last. */
     Status status() throws IOException {
         return Status.read(folder.resolve("kept"));
     }
--- a/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
+++ b/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
@@ -37,12 +37,12 @@
 import wrenreach.net.ReplyHandle;
 import wrenreach.endpoints.ListUpdate;
 
-/** Watched files beside a host that only notes what it is told. */
+/** Tests watched files with a node stub that only records the updates that it gets. */
 class WatchedListsTest {
     @TempDir Path folder;
     private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
-    /** What the module would know after each line, as the names of the endpoints that serve. */
-    private final LinkedBlockingQueue<Set<String>> pictures = new LinkedBlockingQueue<>();
+    /** The names of the serving endpoints after each update that the node got. */
+    private final LinkedBlockingQueue<Set<String>> servingSets = new LinkedBlockingQueue<>();
     private final Map<String, ListUpdate.Entry> known = new HashMap<>();
     private final NodeContext host = new NodeContext() {
         @Override public String name() {
@@ -67,15 +67,15 @@
 
         @Override public void prepare(List<ListUpdate.Entry> entries) { }
 
-        @Override public void updateEndpoints(ListUpdate line) {
-            for (ListUpdate.Entry entry : line.entries()) {
+        @Override public void updateEndpoints(ListUpdate update) {
+            for (ListUpdate.Entry entry : update.entries()) {
                 known.put(entry.name(), entry);
             }
-            pictures.add(known.values().stream().filter(Generation::serves).map(e -> Generation.name(e.name()))
+            servingSets.add(known.values().stream().filter(Generation::isServing).map(entry -> Generation.nameOf(entry.name()))
                     .collect(Collectors.toSet()));
         }
 
-        @Override public void submit(Submission submission, long lifetimeMs, ReplyHandle asker) { }
+        @Override public void submit(Submission submission, long lifetimeMs, ReplyHandle replyHandle) { }
     };
     private final List<Set<String>> seen = new ArrayList<>();
     private WatchedLists lists;
@@ -105,41 +105,42 @@
         loop.execute(lists::serving);
     }
 
-    /** A part with these endpoints of destination 1. */
+    /** A part that holds these endpoints, all of destination 1 and zone n. */
     private static byte[] part(String... names) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        ListFiles.write(out, Lists.list(Arrays.stream(names).map(n -> "1/" + n + "@n").collect(Collectors.joining(" "))));
+        ListFiles.write(out, Lists.list(Arrays.stream(names).map(name -> "1/" + name + "@n").collect(Collectors.joining(" "))));
         return out.toByteArray();
     }
 
     private static byte[] manifest(String label, String confirm, Map<String, byte[]> parts) throws IOException {
         return ListFiles.write(new ListFiles.Manifest(label, confirm, parts.entrySet().stream().sorted(Map.Entry.comparingByKey())
-                .map(e -> new ListFiles.Part(e.getKey(), ListFiles.sum(e.getValue()))).toList()));
+                .map(entry -> new ListFiles.Part(entry.getKey(), ListFiles.sha256Hex(entry.getValue()))).toList()));
     }
 
-    private String put(String label, String confirm, String... names) throws Exception {
+    private String publish(String label, String confirm, String... names) throws Exception {
         byte[] part = part(names);
-        ListFiles.replace(folder.resolve("part"), part);
+        ListFiles.replaceAtomically(folder.resolve("part"), part);
         byte[] manifest = manifest(label, confirm, Map.of("part", part));
-        ListFiles.replace(manifest(), manifest);
-        return ListFiles.manifest(manifest(), manifest).print();
+        ListFiles.replaceAtomically(manifest(), manifest);
+        return ListFiles.parseManifest(manifest(), manifest).fingerprint();
     }
 
-    private void until(String... names) throws InterruptedException {
+    /** Waits for an update after which just these endpoints serve; records all sets seen before. */
+    private void awaitServing(String... names) throws InterruptedException {
         Set<String> wanted = Set.of(names);
         Set<String> last = null;
         do {
-            last = pictures.poll(20, TimeUnit.SECONDS);
+            last = servingSets.poll(20, TimeUnit.SECONDS);
             assertThat(last).as("waiting for " + wanted).isNotNull();
             seen.add(last);
         } while (!last.equals(wanted));
     }
 
-    private Status status(java.util.function.Predicate<Status> wanted) throws Exception {
+    private Status awaitStatus(java.util.function.Predicate<Status> wanted) throws Exception {
         Status last = null;
         for (int i = 0; i < 1000 && (last == null || !wanted.test(last)); i++) {
             Thread.sleep(10);
-            last = Files.exists(kept().resolve(Status.FILE)) ? Status.read(kept()) : null;
+            last = Files.exists(kept().resolve(Status.FILE_NAME)) ? Status.read(kept()) : null;
         }
         assertThat(last).matches(wanted);
         return last;
@@ -153,115 +154,116 @@
     }
 
     /**
-     * Guards against mixed lists: a writer that tears, cuts and renames two parts and their manifest 4,000 times beside
-     * the reading thread. Each picture is of one generation: all names of a generation carry its number.
+     * A list must never mix two generations. A writer truncates, overwrites and renames two parts and their manifest 4,000
+     * times while the watching thread reads them. The names of a generation carry its number, so that each set of serving
+     * endpoints shows of which generation it is.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void besideATearingWriterEachListInForceIsOneGenerationWrittenWhole(long seed) throws Exception {
+    void partialWritesNeverYieldAMixedList(long seed) throws Exception {
         Random random = new Random(seed);
         start(1);
-        until();
+        awaitServing();
         Set<Set<String>> written = new HashSet<>();
-        for (int g = 0; g < 2000; g++) {
-            String[] north = {"g" + g + "-a", "g" + g + "-b"};
-            String[] south = {"g" + g + "-c"};
+        for (int generation = 0; generation < 2000; generation++) {
+            String[] north = {"g" + generation + "-a", "g" + generation + "-b"};
+            String[] south = {"g" + generation + "-c"};
             Map<String, byte[]> parts = Map.of("north", part(north), "south", part(south));
-            List<Path> order = new ArrayList<>(List.of(folder.resolve("north"), folder.resolve("south"), manifest()));
-            for (Path file : order) {
-                byte[] bytes = file.equals(manifest()) ? manifest("g" + g, "", parts) : parts.get(file.getFileName().toString());
+            List<Path> files = new ArrayList<>(List.of(folder.resolve("north"), folder.resolve("south"), manifest()));
+            for (Path file : files) {
+                byte[] bytes = file.equals(manifest()) ? manifest("g" + generation, "", parts) : parts.get(file.getFileName().toString());
                 switch (random.nextInt(4)) {
                     case 0 -> Files.write(file, Arrays.copyOf(bytes, random.nextInt(bytes.length)));
                     case 1 -> {
                         Files.write(file, Arrays.copyOf(bytes, bytes.length / 2));
                         Files.write(file, bytes);
                     }
-                    default -> ListFiles.replace(file, bytes);
+                    default -> ListFiles.replaceAtomically(file, bytes);
                 }
                 if (random.nextInt(50) == 0) {
                     Files.deleteIfExists(file);
                 }
             }
             written.add(Set.of(north[0], north[1], south[0]));
-            if (g % 100 == 99) {
-                put("whole " + g, "", "whole-" + g);
-                until("whole-" + g);
-                written.add(Set.of("whole-" + g));
+            if (generation % 100 == 99) {
+                publish("whole " + generation, "", "whole-" + generation);
+                awaitServing("whole-" + generation);
+                written.add(Set.of("whole-" + generation));
             }
         }
-        String last = put("last", "", "end");
-        until("end");
-        status(s -> s.label().equals("last"));
-        assertThat(ListFiles.reread(kept().resolve(WatchedLists.KEPT), section(1).bounds()).print()).isEqualTo(last);
+        String last = publish("last", "", "end");
+        awaitServing("end");
+        awaitStatus(s -> s.label().equals("last"));
+        assertThat(ListFiles.readStored(kept().resolve(WatchedLists.IN_FORCE_FILE), section(1).bounds()).fingerprint()).isEqualTo(last);
         written.add(Set.of("end"));
         written.add(Set.of());
         assertThat(written).containsAll(seen);
         assertThat(seen).contains(Set.of("whole-99"), Set.of("whole-1999"));
     }
 
-    @Test void whatIsHeldBackIsShownAndTakenOnceConfirmed() throws Exception {
-        put("both", "", "a", "b", "c");
+    @Test void aHeldBackListIsShownAndAppliedOnceConfirmed() throws Exception {
+        publish("both", "", "a", "b", "c");
         start(0.5);
-        until("a", "b", "c");
-        String print = put("one left", "", "a");
-        assertThat(status(s -> !s.heldPrint().isEmpty()).heldPrint()).isEqualTo(print);
+        awaitServing("a", "b", "c");
+        String fingerprint = publish("one left", "", "a");
+        assertThat(awaitStatus(status -> !status.heldFingerprint().isEmpty()).heldFingerprint()).isEqualTo(fingerprint);
         assertThat(command(1, "status", kept().toString())).contains("in force: ").contains("\"both\", 3 endpoints")
-                .contains("held back: " + print + " \"one left\"")
+                .contains("held back: " + fingerprint + " \"one left\"")
                 .contains("zone n would lose 2 of 3 endpoints, at most 50% may go");
-        put("one left", "000000000000", "a");
-        put("one left", print, "a");
-        until("a");
+        publish("one left", "000000000000", "a");
+        publish("one left", fingerprint, "a");
+        awaitServing("a");
         assertThat(seen).isSubsetOf(Set.of(), Set.of("a", "b", "c"), Set.of("a"));
-        // The status is written after the node has heard of the list.
-        status(s -> s.label().equals("one left") && s.heldPrint().isEmpty());
+        // The status is written after the node has got the list.
+        awaitStatus(status -> status.label().equals("one left") && status.heldFingerprint().isEmpty());
         assertThat(command(0, "status", kept().toString())).contains("\"one left\", 1 endpoints").doesNotContain("held");
     }
 
-    @Test void afterARestartTheListInForceStaysWhileTheFilesAreFaulty() throws Exception {
-        put("good", "", "a", "b");
+    @Test void afterARestartTheListInForceStaysWhileTheFilesAreInvalid() throws Exception {
+        publish("good", "", "a", "b");
         start(0.5);
-        until("a", "b");
+        awaitServing("a", "b");
         lists.stopped();
         Files.writeString(manifest(), "{");
         start(0.5);
-        until("a", "b");
-        assertThat(status(s -> !s.fault().isEmpty()).fault()).contains("manifest.json:1: can't be read as JSON");
+        awaitServing("a", "b");
+        assertThat(awaitStatus(status -> !status.fault().isEmpty()).fault()).contains("manifest.json:1: can't be read as JSON");
         assertThat(command(1, "status", kept().toString())).contains("can't be read since");
-        put("next", "", "a", "b", "c");
-        until("a", "b", "c");
-        assertThat(status(Status::quiet).label()).isEqualTo("next");
+        publish("next", "", "a", "b", "c");
+        awaitServing("a", "b", "c");
+        assertThat(awaitStatus(Status::isHealthy).label()).isEqualTo("next");
     }
 
-    @Test void aFlippedLinkASameTimeStampAndAFileGoneAndBackAreSeen() throws Exception {
-        Path one = Files.createDirectory(folder.resolve("one"));
-        Path two = Files.createDirectory(folder.resolve("two"));
-        for (Path at : List.of(one, two)) {
-            byte[] part = part(at.getFileName().toString());
-            Files.write(at.resolve("part"), part);
-            Files.write(at.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
+    @Test void changedLinksEqualTimestampsAndRecreatedFilesAreNoticed() throws Exception {
+        Path first = Files.createDirectory(folder.resolve("one"));
+        Path second = Files.createDirectory(folder.resolve("two"));
+        for (Path version : List.of(first, second)) {
+            byte[] part = part(version.getFileName().toString());
+            Files.write(version.resolve("part"), part);
+            Files.write(version.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
         }
-        Path current = Files.createSymbolicLink(folder.resolve("current"), one);
+        Path current = Files.createSymbolicLink(folder.resolve("current"), first);
         Files.createSymbolicLink(manifest(), Path.of("current", "manifest.json"));
         start(1);
-        until("one");
-        Files.move(Files.createSymbolicLink(folder.resolve("next"), two), current, StandardCopyOption.ATOMIC_MOVE);
-        until("two");
-        // The same time stamp and length: content tells.
-        FileTime stamp = Files.getLastModifiedTime(two.resolve("manifest.json"));
+        awaitServing("one");
+        Files.move(Files.createSymbolicLink(folder.resolve("next"), second), current, StandardCopyOption.ATOMIC_MOVE);
+        awaitServing("two");
+        // Same timestamp and length: only the content shows the change.
+        FileTime timestamp = Files.getLastModifiedTime(second.resolve("manifest.json"));
         byte[] part = part("six");
-        Files.write(two.resolve("part"), part);
-        Path next = Files.write(two.resolve("next"), manifest("l", "", Map.of("part", part)));
-        Files.setLastModifiedTime(next, stamp);
-        Files.move(next, two.resolve("manifest.json"), StandardCopyOption.ATOMIC_MOVE);
-        until("six");
-        Files.delete(two.resolve("manifest.json"));
-        status(s -> s.fault().endsWith("no such file"));
-        Files.write(two.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
-        status(Status::quiet);
-        assertThat(pictures).allMatch(picture -> picture.equals(Set.of("six")));
+        Files.write(second.resolve("part"), part);
+        Path next = Files.write(second.resolve("next"), manifest("l", "", Map.of("part", part)));
+        Files.setLastModifiedTime(next, timestamp);
+        Files.move(next, second.resolve("manifest.json"), StandardCopyOption.ATOMIC_MOVE);
+        awaitServing("six");
+        Files.delete(second.resolve("manifest.json"));
+        awaitStatus(status -> status.fault().endsWith("no such file"));
+        Files.write(second.resolve("manifest.json"), manifest("l", "", Map.of("part", part)));
+        awaitStatus(Status::isHealthy);
+        assertThat(servingSets).allMatch(names -> names.equals(Set.of("six")));
     }
 
-    @Test void theCommandsMakeCheckAndRefuse() throws Exception {
+    @Test void commandsMakeCheckAndReportErrors() throws Exception {
         Files.write(folder.resolve("north"), part("a", "b"));
         Files.write(folder.resolve("south"), part("c"));
         String manifest = manifest().toString();
@@ -275,9 +277,9 @@
         assertThat(command(2, "status", folder.resolve("absent").toString())).contains("NoSuchFile");
     }
 
-    @Test void aKeptListThatIsTornStopsTheStart() throws Exception {
+    @Test void aTruncatedStoredListPreventsTheStart() throws Exception {
         Files.createDirectories(kept());
-        Files.write(kept().resolve(WatchedLists.KEPT), Arrays.copyOf(part("a"), 50));
+        Files.write(kept().resolve(WatchedLists.IN_FORCE_FILE), Arrays.copyOf(part("a"), 50));
         assertThatThrownBy(() -> new WatchedLists(section(1), host)).isInstanceOf(Subsystem.StartException.class)
                 .hasMessageContaining("the list kept can't be read");
         Path file = Files.writeString(folder.resolve("file"), "");
--- a/relay/src/main/java/wrenreach/relay/TcpRelay.java
+++ b/relay/src/main/java/wrenreach/relay/TcpRelay.java
@@ -31,359 +31,369 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Connections from one party to another, passed on over loopback as the two ways of their link allow. Where nobody listens
- * behind it, or the link refuses, nobody listens here either; where it is cut, connects never come up. All of it belongs to
- * one loop. Memory: up to {@link #HELD} bytes are held of each way of each connection, then no more is read.
+ * Relays TCP connections from one party to another over loopback, as the two directions of their link allow. While nobody
+ * listens at the target, or the link refuses, the relay doesn't listen either; while the link is cut, TCP connects to it time
+ * out. All methods run on one event loop. Memory: each direction of each connection buffers up to {@link #BUFFER_BYTES} bytes
+ * and the read that exceeds them, then reading stops.
  */
 public final class TcpRelay {
-    /** Bytes of one way of one connection that are read before they may go on. */
+    /** Bytes buffered for one direction of one connection above which reading stops; it goes on below half of them. */
     public static final int BUFFER_BYTES = 1 << 20;
-    private static final int CONNECT_MS = 1000, FILLS = 4, TRIES = 400;
-    private static final long TRY_AGAIN = 5_000_000;
+    private static final int TCP_CONNECT_TIMEOUT_MS = 1000;
+    /** Connections that fill the backlog of the listener that accepts none. */
+    private static final int BACKLOG_FILLERS = 4;
+    /** Failures to listen in a row that are retried before the relay gives up. */
+    private static final int MAX_LISTEN_RETRIES = 400;
+    private static final long LISTEN_RETRY_NANOS = 5_000_000;
 
-    private enum Mode { CLOSED, OPEN, WALL }
+    /** CLOSED: nobody listens; OPEN: connections are relayed; UNRESPONSIVE: TCP connects time out. */
+    private enum Mode { CLOSED, OPEN, UNRESPONSIVE }
 
     private final EventLoop loop;
-    private final InetSocketAddress at;
-    private final InetSocketAddress own;
-    private final InetSocketAddress to;
-    private final LinkDirection there;
-    private final LinkDirection back;
-    private final DoubleSupplier chance;
-    private final Consumer<String> failed;
-    private final Set<Pair> pairs = new LinkedHashSet<>();
-    private final List<SocketChannel> fills = new ArrayList<>();
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress sourceAddress;
+    private final InetSocketAddress targetAddress;
+    private final LinkDirection forward;
+    private final LinkDirection reverse;
+    private final DoubleSupplier random;
+    private final Consumer<String> errorHandler;
+    private final Set<RelayedConnection> connections = new LinkedHashSet<>();
+    private final List<SocketChannel> backlogFillers = new ArrayList<>();
     private Mode mode = Mode.CLOSED;
     private Channel listener;
-    private ServerSocketChannel wall;
-    private boolean shifting;
+    private ServerSocketChannel unresponsiveListener;
+    /** Whether a change of mode is under way or scheduled. */
+    private boolean switching;
     private boolean targetUp = true;
-    private boolean dead = true;
-    private int refusals;
+    private boolean stopped = true;
+    private int listenFailures;
     private long opened;
 
     /**
-     * at: where it listens; own: the address that it comes from, so that the other side can tell who asks (port 0); to: where
-     * it leads; failed: told in one line of what the machine refuses.
+     * sourceAddress: the local address of connections to the target, by which the target can tell which party connects (port
+     * 0); forward: towards the target; random: from 0 to below 1; errorHandler: gets a line for each failure of the operating
+     * system.
      */
-    public TcpRelay(EventLoop loop, InetSocketAddress at, InetSocketAddress own, InetSocketAddress to, LinkDirection there, LinkDirection back,
-                    DoubleSupplier chance, Consumer<String> failed) {
+    public TcpRelay(EventLoop loop, InetSocketAddress listenAddress, InetSocketAddress sourceAddress, InetSocketAddress targetAddress,
+                    LinkDirection forward, LinkDirection reverse, DoubleSupplier random, Consumer<String> errorHandler) {
         this.loop = loop;
-        this.at = at;
-        this.own = own;
-        this.to = to;
-        this.there = there;
-        this.back = back;
-        this.chance = chance;
-        this.failed = failed;
+        this.listenAddress = listenAddress;
+        this.sourceAddress = sourceAddress;
+        this.targetAddress = targetAddress;
+        this.forward = forward;
+        this.reverse = reverse;
+        this.random = random;
+        this.errorHandler = errorHandler;
     }
 
-    /** A listener of the family in which addresses of loopback are many. */
+    /** A server channel for IPv4, which has many loopback addresses. */
     public static NioServerSocketChannel listener() {
         return new NioServerSocketChannel(SelectorProvider.provider(), SocketProtocolFamily.INET);
     }
 
-    /** A connection of the same. */
+    /** A client channel for IPv4. */
     public static NioSocketChannel connection() {
         return new NioSocketChannel(SelectorProvider.provider(), SocketProtocolFamily.INET);
     }
 
-    /** It begins, or is there again after it died. */
+    /** Starts the relay, also again after {@link #stop}. */
     public void start() {
-        dead = false;
+        stopped = false;
         changed();
     }
 
-    /** It is gone with all its connections, which are reset; nobody listens. */
+    /** Stops listening and resets all connections. */
     public void stop() {
-        dead = true;
+        stopped = true;
         reset();
         changed();
     }
 
-    /** Whether somebody listens where it leads. */
+    /** Tells the relay whether somebody listens at the target. */
     public void targetUp(boolean up) {
         targetUp = up;
         changed();
     }
 
-    /** Resets every connection that passes through. */
+    /** Resets all connections. */
     public void reset() {
-        List.copyOf(pairs).forEach(Pair::reset);
+        List.copyOf(connections).forEach(RelayedConnection::reset);
     }
 
-    /** Connections that have come up so far. */
+    /** The number of connections accepted so far. */
     public long opened() {
         return opened;
     }
 
-    /** Connections that pass through now. */
+    /** The number of connections that are open now. */
     public int open() {
-        return pairs.size();
+        return connections.size();
     }
 
-    /** What is wrong with the ways has changed. */
+    /** Has to be called after each change to the impairments of the two directions. */
     public void changed() {
-        shift();
-        List.copyOf(pairs).forEach(pair -> {
-            pair.there.drain();
-            pair.back.drain();
+        switchMode();
+        List.copyOf(connections).forEach(connection -> {
+            connection.forward.drain();
+            connection.reverse.drain();
         });
     }
 
-    private Mode wanted() {
-        if (dead || !targetUp || there.refuses() || back.refuses()) {
+    private Mode wantedMode() {
+        if (stopped || !targetUp || forward.refuses() || reverse.refuses()) {
             return Mode.CLOSED;
         }
-        return there.isCut() || back.isCut() ? Mode.WALL : Mode.OPEN;
+        return forward.isCut() || reverse.isCut() ? Mode.UNRESPONSIVE : Mode.OPEN;
     }
 
-    /** Closes what listens and opens what shall; what is wanted may change meanwhile. */
-    private void shift() {
-        if (shifting || mode == wanted()) {
+    /** Closes the listener of the present mode and opens that of the wanted one, which may change meanwhile. */
+    private void switchMode() {
+        if (switching || mode == wantedMode()) {
             return;
         }
         if (mode == Mode.OPEN) {
-            shifting = true;
+            switching = true;
             mode = Mode.CLOSED;
-            // The machine has the address back once the loop's selector has let go of it: one look later.
-            listener.close().addListener(done -> again(0));
+            // The operating system frees the address only once the loop's selector has released the channel, one select later.
+            listener.close().addListener(done -> switchModeLater(0));
             return;
         }
-        if (mode == Mode.WALL) {
-            takeDownWall();
+        if (mode == Mode.UNRESPONSIVE) {
+            closeUnresponsiveListener();
             mode = Mode.CLOSED;
         }
-        if (wanted() == Mode.WALL) {
-            buildWall();
-        } else if (wanted() == Mode.OPEN) {
+        if (wantedMode() == Mode.UNRESPONSIVE) {
+            openUnresponsiveListener();
+        } else if (wantedMode() == Mode.OPEN) {
             listen();
         }
     }
 
-    private void again(long nanos) {
-        shifting = true;
+    private void switchModeLater(long nanos) {
+        switching = true;
         loop.schedule(() -> {
-            shifting = false;
-            shift();
+            switching = false;
+            switchMode();
         }, nanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Guards against an address that is in use for a moment more: it is tried again for a bounded time. */
-    private void refused(String what, Throwable cause) {
+    /** The address may be in use for a moment longer, so listening is retried a limited number of times before the relay stops. */
+    private void listenFailed(String action, Throwable cause) {
         mode = Mode.CLOSED;
-        if (++refusals > TRIES) {
-            dead = true;
-            failed.accept(what + " " + at + ": " + cause.getMessage());
+        if (++listenFailures > MAX_LISTEN_RETRIES) {
+            stopped = true;
+            errorHandler.accept(action + " " + listenAddress + ": " + cause.getMessage());
         } else {
-            again(TRY_AGAIN);
+            switchModeLater(LISTEN_RETRY_NANOS);
         }
     }
 
     private void listen() {
-        shifting = true;
+        switching = true;
         mode = Mode.OPEN;
         var binding = new ServerBootstrap().group(loop).channelFactory(TcpRelay::listener)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 512)
                 .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        connectionAccepted(channel);
                     }
-                }).bind(at);
+                }).bind(listenAddress);
         listener = binding.channel();
         binding.addListener(done -> {
-            shifting = false;
+            switching = false;
             if (!done.isSuccess()) {
-                refused("can't listen on", done.cause());
+                listenFailed("can't listen on", done.cause());
             } else {
-                refusals = 0;
-                shift();
+                listenFailures = 0;
+                switchMode();
             }
         });
     }
 
     /**
-     * A listener whose queue is full and never emptied: the machine drops what asks for a connection, so connects neither come
-     * up nor are refused.
+     * Opens a listener whose backlog is full and never accepted from: the operating system drops further SYN packets, so that
+     * TCP connects neither succeed nor are refused.
      */
-    private void buildWall() {
+    private void openUnresponsiveListener() {
         try {
-            wall = ServerSocketChannel.open(StandardProtocolFamily.INET);
-            wall.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            wall.bind(at, 1);
-            mode = Mode.WALL;
-            for (int i = 0; i < FILLS; i++) {
-                SocketChannel fill = SocketChannel.open(StandardProtocolFamily.INET);
-                fills.add(fill);
-                fill.configureBlocking(false);
-                fill.connect(at);
+            unresponsiveListener = ServerSocketChannel.open(StandardProtocolFamily.INET);
+            unresponsiveListener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            unresponsiveListener.bind(listenAddress, 1);
+            mode = Mode.UNRESPONSIVE;
+            for (int i = 0; i < BACKLOG_FILLERS; i++) {
+                SocketChannel filler = SocketChannel.open(StandardProtocolFamily.INET);
+                backlogFillers.add(filler);
+                filler.configureBlocking(false);
+                filler.connect(listenAddress);
             }
-            refusals = 0;
+            listenFailures = 0;
         } catch (IOException e) {
-            takeDownWall();
-            refused("can't wall off", e);
+            closeUnresponsiveListener();
+            listenFailed("can't wall off", e);
         }
     }
 
-    private void takeDownWall() {
+    private void closeUnresponsiveListener() {
         try {
-            for (SocketChannel fill : fills) {
-                fill.close();
+            for (SocketChannel filler : backlogFillers) {
+                filler.close();
             }
-            fills.clear();
-            wall.close();
+            backlogFillers.clear();
+            unresponsiveListener.close();
         } catch (IOException e) {
-            failed.accept("can't take down the wall at " + at + ": " + e.getMessage());
+            errorHandler.accept("can't take down the wall at " + listenAddress + ": " + e.getMessage());
         }
     }
 
-    private void accepted(Channel asker) {
+    private void connectionAccepted(Channel client) {
         opened++;
-        Pair pair = new Pair(asker);
-        pairs.add(pair);
-        asker.pipeline().addLast(pair.there);
+        RelayedConnection connection = new RelayedConnection(client);
+        connections.add(connection);
+        client.pipeline().addLast(connection.forward);
         new Bootstrap().group(loop).channelFactory(TcpRelay::connection).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.AUTO_READ, false).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(pair.back).localAddress(own).connect(to).addListener(done -> {
-                    pair.back.from = ((ChannelFuture) done).channel();
-                    if (done.isSuccess() && pairs.contains(pair)) {
-                        pair.there.to = pair.back.from;
-                        pair.there.from.config().setAutoRead(true);
-                        pair.back.from.config().setAutoRead(true);
-                        pair.there.drain();
+                .option(ChannelOption.AUTO_READ, false).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TCP_CONNECT_TIMEOUT_MS)
+                .handler(connection.reverse).localAddress(sourceAddress).connect(targetAddress).addListener(done -> {
+                    connection.reverse.source = ((ChannelFuture) done).channel();
+                    if (done.isSuccess() && connections.contains(connection)) {
+                        connection.forward.target = connection.reverse.source;
+                        connection.forward.source.config().setAutoRead(true);
+                        connection.reverse.source.config().setAutoRead(true);
+                        connection.forward.drain();
                     } else {
-                        pair.reset();
+                        connection.reset();
                     }
                 });
     }
 
-    private final class Pair {
-        final Pump there;
-        final Pump back;
+    /** A connection that was accepted, together with the one to the target. */
+    private final class RelayedConnection {
+        final Forwarder forward;
+        final Forwarder reverse;
 
-        Pair(Channel asker) {
-            there = new Pump(this, TcpRelay.this.there);
-            back = new Pump(this, TcpRelay.this.back);
-            there.from = asker;
-            back.to = asker;
+        RelayedConnection(Channel client) {
+            forward = new Forwarder(this, TcpRelay.this.forward);
+            reverse = new Forwarder(this, TcpRelay.this.reverse);
+            forward.source = client;
+            reverse.target = client;
         }
 
         void reset() {
-            pairs.remove(this);
-            for (Channel one : new Channel[] {there.from, back.from}) {
-                if (one != null && one.isOpen()) {
-                    one.config().setOption(ChannelOption.SO_LINGER, 0);
-                    one.close();
+            connections.remove(this);
+            for (Channel channel : new Channel[] {forward.source, reverse.source}) {
+                if (channel != null && channel.isOpen()) {
+                    channel.config().setOption(ChannelOption.SO_LINGER, 0);
+                    channel.close();
                 }
             }
-            there.drop();
-            back.drop();
+            forward.releaseQueue();
+            reverse.releaseQueue();
         }
     }
 
-    /** What goes one way of one connection, in order. */
-    private final class Pump extends ChannelInboundHandlerAdapter {
-        /** bytes: null where the sender has closed; first: it is the half that still goes through. */
-        private record Piece(ByteBuf bytes, long at, boolean first) { }
-
-        private final Pair pair;
-        private final LinkDirection way;
-        private final Deque<Piece> line = new ArrayDeque<>();
-        private Channel from;
-        private Channel to;
-        private long last;
-        private int held;
-        private boolean waits;
-
-        Pump(Pair pair, LinkDirection way) {
-            this.pair = pair;
-            this.way = way;
+    /** Forwards the data of one direction of one connection, in order. */
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
+        /** bytes: null where the sender has closed; dueAt: nanoTime; isFirstHalf: it is the half that passes although HALF applies. */
+        private record Chunk(ByteBuf bytes, long dueAt, boolean isFirstHalf) { }
+
+        private final RelayedConnection connection;
+        private final LinkDirection direction;
+        private final Deque<Chunk> queue = new ArrayDeque<>();
+        private Channel source;
+        private Channel target;
+        /** When the last chunk is due (nanoTime): a later one is not sent before it. */
+        private long lastDueAt;
+        private int bufferedBytes;
+        private boolean drainScheduled;
+
+        Forwarder(RelayedConnection connection, LinkDirection direction) {
+            this.connection = connection;
+            this.direction = direction;
         }
 
         @Override public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             int size = bytes.readableBytes();
-            int passes = way.passedBytes(size);
-            if (passes < size) {
-                add(bytes.readRetainedSlice(passes), true);
+            int passedBytes = direction.passedBytes(size);
+            if (passedBytes < size) {
+                enqueue(bytes.readRetainedSlice(passedBytes), true);
             }
-            add(bytes, false);
-            held += size;
-            if (held > BUFFER_BYTES) {
+            enqueue(bytes, false);
+            bufferedBytes += size;
+            if (bufferedBytes > BUFFER_BYTES) {
                 context.channel().config().setAutoRead(false);
             }
             drain();
         }
 
-        private void add(ByteBuf bytes, boolean first) {
-            long begins = Math.max(System.nanoTime() + way.delayNanos(chance), last);
-            last = begins + (bytes == null ? 0 : way.transferNanos(bytes.readableBytes()));
-            line.addLast(new Piece(bytes, last, first));
+        private void enqueue(ByteBuf bytes, boolean isFirstHalf) {
+            long startsAt = Math.max(System.nanoTime() + direction.delayNanos(random), lastDueAt);
+            lastDueAt = startsAt + (bytes == null ? 0 : direction.transferNanos(bytes.readableBytes()));
+            queue.addLast(new Chunk(bytes, lastDueAt, isFirstHalf));
         }
 
         @Override public void channelInactive(ChannelHandlerContext context) {
-            if (pairs.contains(pair)) {
-                add(null, false);
+            if (connections.contains(connection)) {
+                enqueue(null, false);
                 drain();
             }
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // The party's side was reset: so is the other, but not across a cut.
-            if (!way.isCut()) {
-                pair.reset();
+            // One side was reset, so the other is reset too, but a reset doesn't pass a cut.
+            if (!direction.isCut()) {
+                connection.reset();
             }
         }
 
-        /** Passes on what may go by now. */
+        /** Writes the chunks that are due, and resumes reading where there is room again. */
         void drain() {
-            boolean wrote = false;
-            while (to != null && !line.isEmpty()) {
-                Piece next = line.peekFirst();
-                long early = next.at - System.nanoTime();
-                if (way.isCut() || way.isTruncating() && !next.first) {
+            boolean written = false;
+            while (target != null && !queue.isEmpty()) {
+                Chunk next = queue.peekFirst();
+                long nanosToWait = next.dueAt - System.nanoTime();
+                if (direction.isCut() || direction.isTruncating() && !next.isFirstHalf) {
                     break;
                 }
-                if (early > 0) {
-                    later(early);
+                if (nanosToWait > 0) {
+                    drainLater(nanosToWait);
                     break;
                 }
-                line.pollFirst();
+                queue.pollFirst();
                 if (next.bytes == null) {
-                    pairs.remove(pair);
-                    to.writeAndFlush(to.alloc().buffer(0)).addListener(done -> to.close());
+                    connections.remove(connection);
+                    target.writeAndFlush(target.alloc().buffer(0)).addListener(done -> target.close());
                     return;
                 }
-                held -= next.bytes.readableBytes();
-                to.write(next.bytes);
-                wrote = true;
+                bufferedBytes -= next.bytes.readableBytes();
+                target.write(next.bytes);
+                written = true;
             }
-            if (wrote) {
-                to.flush();
+            if (written) {
+                target.flush();
             }
-            if (held < BUFFER_BYTES / 2 && from != null && to != null && !from.config().isAutoRead()) {
-                from.config().setAutoRead(true);
+            if (bufferedBytes < BUFFER_BYTES / 2 && source != null && target != null && !source.config().isAutoRead()) {
+                source.config().setAutoRead(true);
             }
         }
 
-        private void later(long nanos) {
-            if (!waits) {
-                waits = true;
+        private void drainLater(long nanos) {
+            if (!drainScheduled) {
+                drainScheduled = true;
                 loop.schedule(() -> {
-                    waits = false;
+                    drainScheduled = false;
                     drain();
                 }, nanos, TimeUnit.NANOSECONDS);
             }
         }
 
-        void drop() {
-            line.forEach(piece -> {
-                if (piece.bytes != null) {
-                    piece.bytes.release();
+        void releaseQueue() {
+            queue.forEach(chunk -> {
+                if (chunk.bytes != null) {
+                    chunk.bytes.release();
                 }
             });
-            line.clear();
+            queue.clear();
         }
     }
 }
