--- a/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
@@ -22,9 +22,9 @@
 
 /** wrenreach store: looks at a store's folder, mends it, and measures one. */
 final class StoreCommand implements Command {
-    private static final int SOUND = 0, DAMAGED = 1, NO_STORE = 2;
-    private static final int BODY = 200, BATCH = 10;
-    private static final long ROOM = 1L << 40;
+    private static final int EXIT_SOUND = 0, EXIT_DAMAGED = 1, EXIT_NO_STORE = 2;
+    private static final int BENCH_VALUE_BYTES = 200, BENCH_BATCH_RECORDS = 10;
+    private static final long MAX_STORE_BYTES = 1L << 40;
 
     @Override public String name() {
         return "store";
@@ -56,30 +56,30 @@
                 case "check":
                 case "stats":
                 case "dump":
-                    return look(args.get(0), store(folder), out);
+                    return inspect(args.get(0), storeFolder(folder), out);
                 case "held":
-                    return held(store(folder), out);
+                    return held(storeFolder(folder), out);
                 case "repair":
                     if (!line.hasOption("copy")) {
                         throw new ParseException("store repair: --copy DIR is needed, for what can't be read");
                     }
-                    return repair(store(folder), Path.of(line.getOptionValue("copy")), out);
+                    return repair(storeFolder(folder), Path.of(line.getOptionValue("copy")), out);
                 default:
                     throw new ParseException("store " + args.get(0) + ": not known");
             }
         } catch (ParseException e) {
             err.println("wrenreach: " + e.getMessage());
             usage().forEach(use -> err.println("usage: wrenreach " + use));
-            return NO_STORE;
+            return EXIT_NO_STORE;
         } catch (NoStore | java.nio.file.NoSuchFileException | java.nio.file.NotDirectoryException e) {
             err.println("wrenreach: " + e.getMessage() + " is no store");
-            return NO_STORE;
+            return EXIT_NO_STORE;
         } catch (Store.Unusable e) {
             err.println("wrenreach: " + e.getMessage());
-            return NO_STORE;
+            return EXIT_NO_STORE;
         } catch (IOException e) {
             err.println("wrenreach: " + e.getMessage());
-            return DAMAGED;
+            return EXIT_DAMAGED;
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** The store's own folder: a state folder holds it under its name. */
-    private static Path store(Path folder) throws IOException {
+    private static Path storeFolder(Path folder) throws IOException {
         Path under = folder.resolve(Journal.STORE);
         Path found = Files.isDirectory(under) ? under : folder;
         if (!Store.isStore(new FolderDisk(found))) {
@@ -109,14 +109,14 @@
         return found;
     }
 
-    private static int look(String what, Path folder, PrintStream out) throws IOException {
+    private static int inspect(String what, Path folder, PrintStream out) throws IOException {
         try (Store store = Store.openReadOnly(new FolderDisk(folder))) {
             Store.Stats stats = store.stats();
             if (what.equals("dump")) {
                 store.forEach((key, value) -> out.println(printable(key) + " " + HexFormat.of().formatHex(value)));
             } else {
                 out.printf(Locale.ROOT, "%d keys, %d bytes live, %d bytes in %d files, %d batches, the last is number %d%n", stats.keys(),
-                        stats.live(), stats.used(), stats.segments(), store.recovered().batches(), stats.sequence());
+                        stats.liveBytes(), stats.usedBytes(), stats.segments(), store.recovered().batches(), stats.sequence());
             }
             if (what.equals("check")) {
                 // Each value is read, not only the batches.
@@ -126,7 +126,7 @@
                 out.println("a last write of " + store.recovered().truncatedBytes() + " bytes was never finished; the next start cuts it off");
             }
             store.recovered().damagedRanges().forEach(hole -> out.println("damaged: " + hole.describe()));
-            return store.recovered().damagedRanges().isEmpty() ? SOUND : DAMAGED;
+            return store.recovered().damagedRanges().isEmpty() ? EXIT_SOUND : EXIT_DAMAGED;
         }
     }
 
@@ -134,7 +134,7 @@
         List<HeldMail> owed = StoreLedger.read(folder);
         owed.forEach(mail -> out.println(mail.describe()));
         out.println(owed.size() + " mails owed");
-        return SOUND;
+        return EXIT_SOUND;
     }
 
     private static String printable(String key) {
@@ -166,7 +166,7 @@
             int kept = 0;
             int holes;
             try (Store from = Store.openReadOnly(new FolderDisk(folder));
-                    Store to = Store.open(new FolderDisk(fresh), ROOM, true, new java.security.SecureRandom().nextInt())) {
+                    Store to = Store.open(new FolderDisk(fresh), MAX_STORE_BYTES, true, new java.security.SecureRandom().nextInt())) {
                 int[] count = {0};
                 from.forEach((key, value) -> {
                     try {
@@ -190,7 +190,7 @@
             }
         }
         Files.delete(old);
-        return SOUND;
+        return EXIT_SOUND;
     }
 
     private static int bench(Path folder, int records, PrintStream out) throws IOException {
@@ -201,25 +201,25 @@
             }
         }
         long begin = System.nanoTime();
-        try (Store store = Store.open(new FolderDisk(folder), ROOM, false, new java.security.SecureRandom().nextInt())) {
-            byte[] body = new byte[BODY];
+        try (Store store = Store.open(new FolderDisk(folder), MAX_STORE_BYTES, false, new java.security.SecureRandom().nextInt())) {
+            byte[] body = new byte[BENCH_VALUE_BYTES];
             for (int i = 0; i < records;) {
                 Batch batch = new Batch();
-                for (int j = 0; j < BATCH && i < records; j++, i++) {
+                for (int j = 0; j < BENCH_BATCH_RECORDS && i < records; j++, i++) {
                     batch.put("t" + i, body);
                 }
                 store.write(batch);
             }
         }
         long filled = System.nanoTime();
-        try (Store store = Store.open(new FolderDisk(folder), ROOM, false, 0)) {
+        try (Store store = Store.open(new FolderDisk(folder), MAX_STORE_BYTES, false, 0)) {
             long opened = System.nanoTime();
             Runtime java = Runtime.getRuntime();
             System.gc();
             out.printf(Locale.ROOT, "%d records of %d bytes in batches of %d: %.0f a second; opened again in %.0f ms; %.1f MB of heap%n",
-                    records, BODY, BATCH, records / ((filled - begin) / 1e9), (opened - filled) / 1e6,
+                    records, BENCH_VALUE_BYTES, BENCH_BATCH_RECORDS, records / ((filled - begin) / 1e9), (opened - filled) / 1e6,
                     (java.totalMemory() - java.freeMemory()) / 1e6);
-            return store.stats().keys() == records ? SOUND : DAMAGED;
+            return store.stats().keys() == records ? EXIT_SOUND : EXIT_DAMAGED;
         }
     }
 }
--- a/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
@@ -45,41 +45,41 @@
 public final class StoreLedger implements Ledger {
     private static final System.Logger LOG = System.getLogger(StoreLedger.class.getName());
     private static final String JOURNAL = "journal";
-    private static final char TAKEN = 't', CONNECT = 'c', NEVER_RAN = 'n', ENDING = 'e', REMEMBERED = 'r', HOLE = 'h', CLOCK = 'b';
+    private static final char ACCEPTED = 't', ATTEMPT = 'c', NEVER_RAN = 'n', ENDING = 'e', REMEMBERED = 'r', DAMAGED_RANGE = 'h', CLOCK = 'b';
     /** The part of the room that is kept for what is owed already, for when the disk is full. */
-    private static final double BALLAST_PART = 0.125;
+    private static final double RESERVED_SHARE = 0.125;
     /** Bytes that a connect or an ending may take; a remembered id beside its length. */
-    private static final int RECORD = 160, ID = 64;
+    private static final int MAX_RECORD_BYTES = 160, REMEMBERED_ID_OVERHEAD_BYTES = 64;
     /** Ids forgotten in one turn; times that a write waits for what has to be forced before. */
-    private static final int FORGOTTEN_A_TURN = 64, FORCED_FOR_ROOM = 64;
+    private static final int MAX_EXPIRED_IDS_PER_ITERATION = 64, MAX_FORCES_PER_WRITE = 64;
 
     private final Store store;
-    private final ReservedSpace ballast;
+    private final ReservedSpace reservedSpace;
     private final boolean sync;
-    private final long remember;
+    private final long rememberMicros;
     private final long rememberBytes;
     /** Microseconds of a clock that only goes forward. */
     private LongSupplier micros;
     /** By which the records' times are; null: the wall's. */
-    private TimeBase base;
-    private final Map<String, HeldMail> owed = new LinkedHashMap<>();
+    private TimeBase timeBase;
+    private final Map<String, HeldMail> outstandingMails = new LinkedHashMap<>();
     /** When each id that is remembered ended, in microseconds; the oldest first. */
     private final Map<String, Long> remembered = new LinkedHashMap<>();
     private long rememberedBytes;
     private final boolean resumed;
-    private long order;
+    private long lastAcceptOrder;
     private Batch pending = new Batch();
     private Executor loop = Runnable::run;
-    private Runnable failed = () -> { };
-    private ExecutorService forcing;
+    private Runnable onFailure = () -> { };
+    private ExecutorService forceExecutor;
     private boolean closed;
-    private ListLog lists;
+    private ListLog listLog;
 
     private StoreLedger(Store store, ReservedSpace ballast, boolean sync, long remember, long rememberBytes, LongSupplier micros) throws IOException {
         this.store = store;
-        this.ballast = ballast;
+        this.reservedSpace = ballast;
         this.sync = sync;
-        this.remember = remember;
+        this.rememberMicros = remember;
         this.rememberBytes = rememberBytes;
         this.micros = micros;
         resumed = store.stats().sequence() > 0;
@@ -98,19 +98,19 @@
         Path folder = state.resolve(Journal.STORE);
         Path made = state.resolve(Journal.STORE + ".new");
         if (Files.exists(journal) && !Files.exists(folder)) {
-            carryOver(state, made, limit, salt);
+            migrateJournal(state, made, limit, salt);
             Files.move(made, folder);
         }
         // What was carried over is in the store: the old file would only take room.
         Files.deleteIfExists(journal);
         Files.deleteIfExists(state.resolve(JOURNAL + ".next"));
         Files.createDirectories(folder);
-        long kept = (long) (limit * BALLAST_PART);
+        long kept = (long) (limit * RESERVED_SHARE);
         Store store = Store.open(new FolderDisk(folder), limit - kept - ListLog.sizeLimit(limit), sync, salt);
         try {
             StoreLedger ledger = new StoreLedger(store, new ReservedSpace(folder.resolve("ballast"), kept), sync, remember, rememberBytes,
                     micros);
-            ledger.lists = new ListLog(state, limit);
+            ledger.listLog = new ListLog(state, limit);
             return ledger;
         } catch (IOException | RuntimeException e) {
             store.close();
@@ -127,7 +127,7 @@
     }
 
     /** Puts what the journal owes into a new store beside it; one that was begun before is begun again. */
-    private static void carryOver(Path state, Path made, long limit, int salt) throws IOException {
+    private static void migrateJournal(Path state, Path made, long limit, int salt) throws IOException {
         if (Files.exists(made)) {
             try (var files = Files.list(made)) {
                 for (Path file : files.toList()) {
@@ -169,7 +169,7 @@
         Map<Long, String> ended = new TreeMap<>();
         store.forEach((key, value) -> {
             try {
-                if (key.charAt(0) == TAKEN) {
+                if (key.charAt(0) == ACCEPTED) {
                     Entry.Accepted taken = (Entry.Accepted) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
                     HeldMail held = new HeldMail(taken.submission(), taken.deadline());
                     held.accepted = true;
@@ -181,8 +181,8 @@
                         at++;
                     }
                 } else if (key.charAt(0) == CLOCK) {
-                    base = ((Entry.Clock) Entry.decode(value)).base();
-                } else if (key.charAt(0) == HOLE) {
+                    timeBase = ((Entry.Clock) Entry.decode(value)).base();
+                } else if (key.charAt(0) == DAMAGED_RANGE) {
                     dealtWith.add(key);
                 } else {
                     others.add(key);
@@ -198,18 +198,18 @@
         }
         // Each hole once: it says nothing of mails taken on after it was found.
         Set<String> holes = new TreeSet<>();
-        found.damagedRanges().stream().filter(hole -> hole.lost() > 0).forEach(hole -> holes.add(HOLE + hole.file() + "@" + hole.at()));
+        found.damagedRanges().stream().filter(hole -> hole.lostBatches() > 0).forEach(hole -> holes.add(DAMAGED_RANGE + hole.file() + "@" + hole.offset()));
         boolean damaged = !dealtWith.containsAll(holes);
         holes.stream().filter(hole -> !dealtWith.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
         dealtWith.stream().filter(hole -> !holes.contains(hole)).forEach(pending::delete);
         byOrder.forEach((at, held) -> {
-            order = at;
+            lastAcceptOrder = at;
             held.attempts.sort((a, b) -> Integer.compare(a.number(), b.number()));
             if (damaged && held.ending == null) {
                 // Guards against a second effect: what is missing may have said that it went out, or that it was over.
                 attemptStarted(held, new RecordedAttempt(held.attempts.size(), "", 0, 0, false));
             }
-            owed.put(held.submission.id(), held);
+            outstandingMails.put(held.submission.id(), held);
         });
         ended.forEach((at, id) -> remembered(id, at));
         // Records whose mail is gone are of no use: only damage leaves them.
@@ -238,17 +238,17 @@
 
     @Override public void attach(Executor onLoop, Runnable whenFailed) {
         loop = onLoop;
-        failed = whenFailed;
+        onFailure = whenFailed;
     }
 
     @Override public Optional<TimeBase> timeBase() {
-        return Optional.ofNullable(base);
+        return Optional.ofNullable(timeBase);
     }
 
     @Override public void startClock(TimeBase started, LongSupplier itsMicros) {
         micros = itsMicros;
-        if (!started.equals(base)) {
-            base = started;
+        if (!started.equals(timeBase)) {
+            timeBase = started;
             pending.put(String.valueOf(CLOCK), new Entry.Clock(started).encode());
         }
     }
@@ -258,14 +258,14 @@
     }
 
     @Override public List<HeldMail> outstanding() {
-        return new ArrayList<>(owed.values());
+        return new ArrayList<>(outstandingMails.values());
     }
 
     @Override public boolean fits(int bodyBytes, int before, int tries) {
-        long each = (2L + 2 * tries) * RECORD;
+        long each = (2L + 2 * tries) * MAX_RECORD_BYTES;
         // Looked at here too: a node that refuses everything writes nothing.
-        restore();
-        return ballast.reserved() && store.fits(owed.size() * each + Math.max(0, rememberBytes - rememberedBytes), (1L + before) * (bodyBytes + RECORD + each));
+        restoreReservedSpace();
+        return reservedSpace.reserved() && store.fits(outstandingMails.size() * each + Math.max(0, rememberBytes - rememberedBytes), (1L + before) * (bodyBytes + MAX_RECORD_BYTES + each));
     }
 
     @Override public boolean hasEnded(String id) {
@@ -274,28 +274,28 @@
 
     @Override public void accepted(HeldMail held) {
         held.accepted = true;
-        owed.put(held.submission.id(), held);
+        outstandingMails.put(held.submission.id(), held);
         byte[] entry = new Entry.Accepted(held.submission, held.deadline).encode();
-        pending.put(TAKEN + held.submission.id(), ByteBuffer.allocate(8 + entry.length).putLong(++order).put(entry).array());
+        pending.put(ACCEPTED + held.submission.id(), ByteBuffer.allocate(8 + entry.length).putLong(++lastAcceptOrder).put(entry).array());
     }
 
-    private static String of(char kind, String id, int number) {
+    private static String attemptKey(char kind, String id, int number) {
         return kind + id + '\0' + number;
     }
 
     @Override public void attemptStarted(HeldMail held, RecordedAttempt connect) {
         held.attempts.add(connect);
         String id = held.submission.id();
-        pending.put(of(CONNECT, id, connect.number()), new Entry.AttemptStarted(id, connect).encode());
+        pending.put(attemptKey(ATTEMPT, id, connect.number()), new Entry.AttemptStarted(id, connect).encode());
         if (connect.neverRan()) {
-            pending.put(of(NEVER_RAN, id, connect.number()), new Entry.NeverRan(id, connect.number()).encode());
+            pending.put(attemptKey(NEVER_RAN, id, connect.number()), new Entry.NeverRan(id, connect.number()).encode());
         }
     }
 
     @Override public void neverRan(HeldMail held, int number) {
         if (held.markNeverRan(number)) {
             String id = held.submission.id();
-            pending.put(of(NEVER_RAN, id, number), new Entry.NeverRan(id, number).encode());
+            pending.put(attemptKey(NEVER_RAN, id, number), new Entry.NeverRan(id, number).encode());
         }
     }
 
@@ -306,21 +306,21 @@
 
     @Override public void completed(HeldMail held) {
         String id = held.submission.id();
-        if (!held.accepted || !owed.remove(id, held)) {
+        if (!held.accepted || !outstandingMails.remove(id, held)) {
             return;
         }
         held.accepted = false;
-        pending.delete(TAKEN + id);
+        pending.delete(ACCEPTED + id);
         for (RecordedAttempt connect : held.attempts) {
-            pending.delete(of(CONNECT, id, connect.number()));
+            pending.delete(attemptKey(ATTEMPT, id, connect.number()));
             if (connect.neverRan()) {
-                pending.delete(of(NEVER_RAN, id, connect.number()));
+                pending.delete(attemptKey(NEVER_RAN, id, connect.number()));
             }
         }
         if (held.ending != null) {
             pending.delete(ENDING + id);
         }
-        if (remember > 0 && rememberBytes > 0) {
+        if (rememberMicros > 0 && rememberBytes > 0) {
             long now = micros.getAsLong();
             pending.put(REMEMBERED + id, ByteBuffer.allocate(8).putLong(now).array());
             remembered(id, now);
@@ -329,19 +329,19 @@
 
     private void remembered(String id, long at) {
         remembered.put(id, at);
-        rememberedBytes += id.length() + ID;
+        rememberedBytes += id.length() + REMEMBERED_ID_OVERHEAD_BYTES;
     }
 
-    private void forget() {
-        long before = micros.getAsLong() - remember;
+    private void expireRememberedIds() {
+        long before = micros.getAsLong() - rememberMicros;
         int count = 0;
-        for (Iterator<Map.Entry<String, Long>> all = remembered.entrySet().iterator(); all.hasNext() && count < FORGOTTEN_A_TURN;) {
+        for (Iterator<Map.Entry<String, Long>> all = remembered.entrySet().iterator(); all.hasNext() && count < MAX_EXPIRED_IDS_PER_ITERATION;) {
             Map.Entry<String, Long> oldest = all.next();
             if (oldest.getValue() >= before && rememberedBytes <= rememberBytes) {
                 return;
             }
             all.remove();
-            rememberedBytes -= oldest.getKey().length() + ID;
+            rememberedBytes -= oldest.getKey().length() + REMEMBERED_ID_OVERHEAD_BYTES;
             pending.delete(REMEMBERED + oldest.getKey());
             count++;
         }
@@ -353,7 +353,7 @@
         if (pending.isEmpty()) {
             return true;
         }
-        forget();
+        expireRememberedIds();
         Batch batch = pending;
         pending = new Batch();
         return write(batch, then);
@@ -363,31 +363,31 @@
         try {
             append(batch);
         } catch (IOException e) {
-            if (!ballast.release()) {
+            if (!reservedSpace.release()) {
                 throw e;
             }
             LogEvent.log(LOG, Level.ERROR, "store.short", "the disk takes no more: new mails are refused, what is owed goes on: {why}",
                     "why", e.getMessage());
             append(batch);
         }
-        restore();
+        restoreReservedSpace();
         if (!sync) {
             return true;
         }
-        if (forcing == null) {
-            forcing = Executors.newSingleThreadExecutor(work -> {
+        if (forceExecutor == null) {
+            forceExecutor = Executors.newSingleThreadExecutor(work -> {
                 Thread thread = new Thread(work, "wrenreach-store");
                 thread.setDaemon(true);
                 return thread;
             });
         }
         Store.Sync all = store.sync();
-        forcing.execute(() -> force(all, then));
+        forceExecutor.execute(() -> force(all, then));
         return false;
     }
 
-    private void restore() {
-        if (ballast.restore(micros.getAsLong())) {
+    private void restoreReservedSpace() {
+        if (reservedSpace.restore(micros.getAsLong())) {
             LogEvent.log(LOG, Level.WARNING, "store.room", "the disk has room again: mails are taken on");
         }
     }
@@ -399,7 +399,7 @@
                 store.write(batch);
                 return;
             } catch (Store.Full e) {
-                if (!sync || i >= FORCED_FOR_ROOM) {
+                if (!sync || i >= MAX_FORCES_PER_WRITE) {
                     throw e;
                 }
                 Store.Sync all = store.sync();
@@ -423,7 +423,7 @@
             // What a failed sync leaves is unknown: nothing can be promised on it any more.
             LogEvent.log(LOG, Level.ERROR, "store.sync", "the store can't be forced to the disk, the node stops: {why}", "why",
                     e.getMessage());
-            next = failed;
+            next = onFailure;
         }
         try {
             loop.execute(next);
@@ -434,11 +434,11 @@
     }
 
     @Override public ListLog listLog() {
-        return lists;
+        return listLog;
     }
 
     @Override public long size() {
-        return store.stats().appended() + store.stats().copied();
+        return store.stats().appendedBytes() + store.stats().copiedBytes();
     }
 
     /** What the store says of itself. */
@@ -448,10 +448,10 @@
 
     @Override public void close() throws IOException {
         closed = true;
-        if (forcing != null) {
-            forcing.shutdown();
+        if (forceExecutor != null) {
+            forceExecutor.shutdown();
             try {
-                forcing.awaitTermination(1, TimeUnit.SECONDS);
+                forceExecutor.awaitTermination(1, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/ledger/src/test/java/wrenreach/ledger/StoreLedgerTest.java
+++ b/ledger/src/test/java/wrenreach/ledger/StoreLedgerTest.java
@@ -36,7 +36,7 @@
         return new HeldMail(new Submission(id, "key", "order", "shop", "tag " + id, 3, new byte[bytes]), 99);
     }
 
-    private static RecordedAttempt connect(int number) {
+    private static RecordedAttempt attempt(int number) {
         return new RecordedAttempt(number, "e" + number, 1, 1000 + number, false);
     }
 
@@ -57,34 +57,34 @@
             ledger.accepted(mail);
         }
         write(ledger);
-        ledger.attemptStarted(out, connect(0));
+        ledger.attemptStarted(out, attempt(0));
         ledger.neverRan(out, 0);
-        ledger.attemptStarted(out, connect(1));
-        ledger.attemptStarted(over, connect(0));
+        ledger.attemptStarted(out, attempt(1));
+        ledger.attemptStarted(over, attempt(0));
         write(ledger);
         ledger.completed(over);
         ledger.ended(ended, new Ending(true, 70));
         write(ledger);
     }
 
-    private static void holdsWhatWasFilled(Ledger ledger) {
+    private static void assertFilled(Ledger ledger) {
         assertThat(ids(ledger)).containsExactly("z", "b");
         HeldMail out = ledger.outstanding().get(0);
         assertThat(out.deadline).isEqualTo(99);
         assertThat(out.submission.tag()).isEqualTo("tag z");
         assertThat(out.submission.body()).hasSize(10);
-        assertThat(out.attempts).containsExactly(new RecordedAttempt(0, "e0", 1, 1000, true), connect(1));
+        assertThat(out.attempts).containsExactly(new RecordedAttempt(0, "e0", 1, 1000, true), attempt(1));
         assertThat(ledger.outstanding().get(1).ending).isEqualTo(new Ending(true, 70));
         assertThat(ledger.resumed()).isTrue();
     }
 
-    @Test void whatIsOwedOutlastsTheProcessAndEndedIdsAreKnown() throws Exception {
+    @Test void outstandingMailsAndEndedIdsSurviveARestart() throws Exception {
         try (Ledger ledger = open(false, 10_000)) {
             assertThat(ledger.resumed()).isFalse();
             fill(ledger);
         }
         try (Ledger ledger = open(false, 10_000)) {
-            holdsWhatWasFilled(ledger);
+            assertFilled(ledger);
             assertThat(ledger.hasEnded("y")).isTrue();
             assertThat(ledger.hasEnded("z")).isFalse();
             wallMillis += 60_001;
@@ -98,7 +98,7 @@
         }
     }
 
-    @Test void endedIdsTakeNoMoreThanTheirRoom() throws Exception {
+    @Test void rememberedIdsKeepTheirByteLimit() throws Exception {
         try (Ledger ledger = open(false, 1000)) {
             for (int i = 0; i < 100; i++) {
                 HeldMail mail = mail("m" + i, 10);
@@ -115,29 +115,29 @@
     }
 
     /** Also where an earlier try was cut short at any of its files: nothing is lost, and nothing there twice. */
-    @Test void theJournalIsCarriedOverOnceAndNeverForgotten() throws Exception {
+    @Test void journalIsMigratedExactlyOnce() throws Exception {
         try (Journal journal = Journal.open(folder, LIMIT)) {
             fill(journal);
         }
         Path begun = Files.createDirectories(folder.resolve("store.new"));
         Files.write(begun.resolve("segment-0000000000000001.log"), new byte[200]);
         try (Ledger ledger = open(false, 0)) {
-            holdsWhatWasFilled(ledger);
+            assertFilled(ledger);
         }
         assertThat(folder.resolve("journal")).doesNotExist();
         assertThatThrownBy(() -> Journal.open(folder, LIMIT)).isInstanceOf(IOException.class).hasMessageContaining("[store] has to stay on");
         // The process ended between the store's taking its name and the old file's going.
         Files.write(folder.resolve("journal"), new byte[] {0, 0, 0, 1});
         try (Ledger ledger = open(false, 0)) {
-            holdsWhatWasFilled(ledger);
+            assertFilled(ledger);
         }
         assertThat(folder.resolve("journal")).doesNotExist();
-        assertThat(store("held", folder.toString())).isZero();
+        assertThat(runCommand("held", folder.toString())).isZero();
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("z class=order dest=3", "2 mails owed", "deferred");
     }
 
     /** With sync, the turn's end comes only once its records are forced, on the loop. */
-    @Test void withSyncNothingIsPromisedBeforeItIsForced() throws Exception {
+    @Test void withSyncAWriteCompletesOnlyOnceForced() throws Exception {
         java.util.concurrent.BlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
         try (Ledger ledger = open(true, 0)) {
             ledger.attach(loop::add, () -> { });
@@ -154,7 +154,7 @@
     /** What is missing may have said that a mail went out: none is sent again as if it had not. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
-    void afterDamageOwedMailsAreTakenToHaveGoneOut(int batch) throws Exception {
+    void afterDamageOutstandingMailsCountAsSent(int batch) throws Exception {
         try (Ledger ledger = open(false, 0)) {
             ledger.accepted(mail("a", 500));
             write(ledger);
@@ -181,7 +181,7 @@
         }
     }
 
-    @Test void theRoomIsKeptTo() throws Exception {
+    @Test void storeKeepsItsDiskLimit() throws Exception {
         try (StoreLedger ledger = open(false, 10_000)) {
             int taken = 0;
             while (ledger.fits(1000, 0, 4)) {
@@ -191,7 +191,7 @@
             assertThat(taken).isBetween(200, 900);
             for (HeldMail held : ledger.outstanding()) {
                 for (int i = 0; i < 4; i++) {
-                    ledger.attemptStarted(held, connect(i));
+                    ledger.attemptStarted(held, attempt(i));
                     write(ledger);
                 }
             }
@@ -204,35 +204,35 @@
         }
     }
 
-    private int store(String... words) {
+    private int runCommand(String... words) {
         out.reset();
         PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
         return new StoreCommand().run(List.of(words), print, print);
     }
 
-    @Test void theCommandTellsSoundDamagedAndNone() throws Exception {
+    @Test void commandDistinguishesSoundDamagedAndMissingStores() throws Exception {
         Path bench = folder.resolve("bench");
-        assertThat(store("bench", bench.toString(), "--records", "2000")).isZero();
-        assertThat(store("check", bench.toString())).isZero();
-        assertThat(store("stats", bench.toString())).isZero();
+        assertThat(runCommand("bench", bench.toString(), "--records", "2000")).isZero();
+        assertThat(runCommand("check", bench.toString())).isZero();
+        assertThat(runCommand("stats", bench.toString())).isZero();
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("2000 keys", "200 batches");
-        assertThat(store("dump", bench.toString())).isZero();
+        assertThat(runCommand("dump", bench.toString())).isZero();
         assertThat(out.toString(StandardCharsets.UTF_8).lines()).hasSize(2000).first().asString().startsWith("t0 0000");
         Path segment = bench.resolve("segment-0000000000000001.log");
         byte[] bytes = Files.readAllBytes(segment);
         bytes[bytes.length / 2] ^= 1;
         Files.write(segment, bytes);
-        assertThat(store("check", bench.toString())).isEqualTo(1);
+        assertThat(runCommand("check", bench.toString())).isEqualTo(1);
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("1 batches are lost");
-        assertThat(store("repair", bench.toString())).as("never without a copy").isEqualTo(2);
-        assertThat(store("repair", bench.toString(), "--copy", folder.resolve("copy").toString())).isZero();
+        assertThat(runCommand("repair", bench.toString())).as("never without a copy").isEqualTo(2);
+        assertThat(runCommand("repair", bench.toString(), "--copy", folder.resolve("copy").toString())).isZero();
         assertThat(folder.resolve("copy").resolve(segment.getFileName().toString())).hasBinaryContent(bytes);
-        assertThat(store("check", bench.toString())).isZero();
+        assertThat(runCommand("check", bench.toString())).isZero();
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("1990 keys");
-        assertThat(store("check", folder.toString())).isEqualTo(2);
-        assertThat(store("check", folder.resolve("none").toString())).isEqualTo(2);
-        assertThat(store("check")).isEqualTo(2);
-        assertThat(store("bench", bench.toString(), "--records", "1")).as("not over another store").isEqualTo(1);
-        assertThat(store("bench", bench.toString(), "--records", "x")).isEqualTo(2);
+        assertThat(runCommand("check", folder.toString())).isEqualTo(2);
+        assertThat(runCommand("check", folder.resolve("none").toString())).isEqualTo(2);
+        assertThat(runCommand("check")).isEqualTo(2);
+        assertThat(runCommand("bench", bench.toString(), "--records", "1")).as("not over another store").isEqualTo(1);
+        assertThat(runCommand("bench", bench.toString(), "--records", "x")).isEqualTo(2);
     }
 }
--- a/store/src/main/java/wrenreach/store/Batch.java
+++ b/store/src/main/java/wrenreach/store/Batch.java
@@ -15,13 +15,13 @@
  */
 public final class Batch {
     /** Bytes of a frame before its records, and of a record before its key. */
-    static final int HEAD = 24, RECORD_HEAD = 11;
+    static final int FRAME_HEADER_BYTES = 24, RECORD_HEADER_BYTES = 11;
     /** Bytes that a key, a value and a whole batch may have. */
     public static final int MAX_KEY_BYTES = 1024, MAX_VALUE_BYTES = 1 << 24, MAX_BYTES = 1 << 26;
     static final byte PUT = 1, DELETE = 2;
 
     /** One record. at: where in the frame it begins; value empty for a deletion. */
-    record Entry(byte type, String key, byte[] value, int at, int length) { }
+    record Entry(byte type, String key, byte[] value, int offset, int length) { }
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
     private int count;
@@ -39,12 +39,12 @@
     private Batch add(byte type, String key, byte[] value) {
         byte[] name = key.getBytes(StandardCharsets.UTF_8);
         if (name.length == 0 || name.length > MAX_KEY_BYTES || value.length > MAX_VALUE_BYTES
-                || bytes.size() + RECORD_HEAD + name.length + value.length > MAX_BYTES) {
+                || bytes.size() + RECORD_HEADER_BYTES + name.length + value.length > MAX_BYTES) {
             throw new IllegalArgumentException("a key has 1 to " + MAX_KEY_BYTES + " bytes, a value up to " + MAX_VALUE_BYTES + ", a batch up to "
                     + MAX_BYTES);
         }
-        ByteBuffer head = ByteBuffer.allocate(RECORD_HEAD).put(type).putShort((short) name.length).putInt(value.length);
-        head.putInt(recordCheck(head.array(), 0, name, value));
+        ByteBuffer head = ByteBuffer.allocate(RECORD_HEADER_BYTES).put(type).putShort((short) name.length).putInt(value.length);
+        head.putInt(recordChecksum(head.array(), 0, name, value));
         bytes.writeBytes(head.array());
         bytes.writeBytes(name);
         bytes.writeBytes(value);
@@ -52,9 +52,9 @@
         return this;
     }
 
-    private static int recordCheck(byte[] head, int at, byte[] key, byte[] value) {
+    private static int recordChecksum(byte[] head, int at, byte[] key, byte[] value) {
         CRC32C crc = new CRC32C();
-        crc.update(head, at, RECORD_HEAD - 4);
+        crc.update(head, at, RECORD_HEADER_BYTES - 4);
         crc.update(key);
         crc.update(value);
         return (int) crc.getValue();
@@ -70,19 +70,19 @@
 
     /** Bytes that it takes on disk. */
     public int size() {
-        return HEAD + bytes.size();
+        return FRAME_HEADER_BYTES + bytes.size();
     }
 
     byte[] frame(long sequence, long forced, int salt) {
         byte[] frame = new byte[size()];
         ByteBuffer buffer = ByteBuffer.wrap(frame).putInt(bytes.size()).putInt(0).putLong(sequence).putLong(forced);
         buffer.put(bytes.toByteArray());
-        buffer.putInt(4, check(frame, 0, frame.length, salt));
+        buffer.putInt(4, checksum(frame, 0, frame.length, salt));
         return frame;
     }
 
     /** The CRC of a frame that stands there. */
-    static int check(byte[] bytes, int at, int length, int salt) {
+    static int checksum(byte[] bytes, int at, int length, int salt) {
         CRC32C crc = new CRC32C();
         crc.update(ByteBuffer.allocate(4).putInt(0, salt));
         crc.update(bytes, at, 4);
@@ -91,54 +91,54 @@
     }
 
     /** The length of the sound frame that stands there; 0: none does. */
-    static int soundAt(byte[] bytes, int at, int end, int salt) {
-        if (end - at < HEAD) {
+    static int validFrameLength(byte[] bytes, int at, int end, int salt) {
+        if (end - at < FRAME_HEADER_BYTES) {
             return 0;
         }
-        ByteBuffer head = ByteBuffer.wrap(bytes, at, HEAD);
+        ByteBuffer head = ByteBuffer.wrap(bytes, at, FRAME_HEADER_BYTES);
         int length = head.getInt();
         int check = head.getInt();
-        return length > 0 && length <= end - at - HEAD && head.getLong() > 0 && check(bytes, at, HEAD + length, salt) == check
-                ? HEAD + length : 0;
+        return length > 0 && length <= end - at - FRAME_HEADER_BYTES && head.getLong() > 0 && checksum(bytes, at, FRAME_HEADER_BYTES + length, salt) == check
+                ? FRAME_HEADER_BYTES + length : 0;
     }
 
     static long sequence(byte[] bytes, int at) {
         return ByteBuffer.wrap(bytes, at + 8, 8).getLong();
     }
 
-    static long forced(byte[] bytes, int at) {
+    static long forcedSequence(byte[] bytes, int at) {
         return ByteBuffer.wrap(bytes, at + 16, 8).getLong();
     }
 
     /** The records of a sound frame. */
     static List<Entry> entries(byte[] bytes, int at, int length) {
         List<Entry> all = new ArrayList<>();
-        for (int next = at + HEAD; next < at + length;) {
-            ByteBuffer head = ByteBuffer.wrap(bytes, next, RECORD_HEAD);
+        for (int next = at + FRAME_HEADER_BYTES; next < at + length;) {
+            ByteBuffer head = ByteBuffer.wrap(bytes, next, RECORD_HEADER_BYTES);
             byte type = head.get();
             int key = head.getShort() & 0xffff;
             int value = head.getInt();
-            int size = RECORD_HEAD + key + value;
+            int size = RECORD_HEADER_BYTES + key + value;
             byte[] content = new byte[value];
-            System.arraycopy(bytes, next + RECORD_HEAD + key, content, 0, value);
-            all.add(new Entry(type, new String(bytes, next + RECORD_HEAD, key, StandardCharsets.UTF_8), content, next - at, size));
+            System.arraycopy(bytes, next + RECORD_HEADER_BYTES + key, content, 0, value);
+            all.add(new Entry(type, new String(bytes, next + RECORD_HEADER_BYTES, key, StandardCharsets.UTF_8), content, next - at, size));
             next += size;
         }
         return all;
     }
 
     /** The value of one record that was read by itself; null: it is not what was written. */
-    static byte[] value(byte[] record) {
+    static byte[] recordValue(byte[] record) {
         ByteBuffer head = ByteBuffer.wrap(record);
         head.get();
         int key = head.getShort() & 0xffff;
         int value = head.getInt();
         int check = head.getInt();
-        if (RECORD_HEAD + key + value != record.length) {
+        if (RECORD_HEADER_BYTES + key + value != record.length) {
             return null;
         }
-        byte[] name = java.util.Arrays.copyOfRange(record, RECORD_HEAD, RECORD_HEAD + key);
-        byte[] content = java.util.Arrays.copyOfRange(record, RECORD_HEAD + key, record.length);
-        return recordCheck(record, 0, name, content) == check ? content : null;
+        byte[] name = java.util.Arrays.copyOfRange(record, RECORD_HEADER_BYTES, RECORD_HEADER_BYTES + key);
+        byte[] content = java.util.Arrays.copyOfRange(record, RECORD_HEADER_BYTES + key, record.length);
+        return recordChecksum(record, 0, name, content) == check ? content : null;
     }
 }
--- a/store/src/main/java/wrenreach/store/CompactionPlanner.java
+++ b/store/src/main/java/wrenreach/store/CompactionPlanner.java
@@ -7,50 +7,50 @@
  */
 final class CompactionPlanner {
     /** Parts of the limit: what may be live, where cleaning begins at the latest, and one segment. */
-    private static final double LIVE_PART = 0.5, FREE_PART = 0.4;
-    private static final int SEGMENTS = 32;
+    private static final double MAX_LIVE_SHARE = 0.5, MIN_FREE_SHARE = 0.4;
+    private static final int SEGMENTS_PER_STORE = 32;
     /** Bounds of a segment and of a slice, in bytes. */
-    private static final long LEAST_SEGMENT = 4096, MOST_SEGMENT = 1 << 24, MOST_SLICE = 1 << 18;
+    private static final long MIN_SEGMENT_BYTES = 4096, MAX_SEGMENT_BYTES = 1 << 24, MAX_SLICE_BYTES = 1 << 18;
 
-    private final long limit;
-    final long segment;
+    private final long limitBytes;
+    final long segmentBytes;
 
     /** limit: bytes that the store may take on disk. */
     CompactionPlanner(long limit) {
-        this.limit = limit;
-        segment = Math.max(LEAST_SEGMENT, Math.min(MOST_SEGMENT, limit / SEGMENTS));
+        this.limitBytes = limit;
+        segmentBytes = Math.max(MIN_SEGMENT_BYTES, Math.min(MAX_SEGMENT_BYTES, limit / SEGMENTS_PER_STORE));
     }
 
     /** Whether a batch of that size may be taken on beside what is live and pledged to be written later. */
     boolean fits(long live, long pledged, long bytes) {
-        return live + pledged + bytes <= LIVE_PART * limit;
+        return live + pledged + bytes <= MAX_LIVE_SHARE * limitBytes;
     }
 
     /** Whether a write of new records may go ahead, so that the largest segment can still be copied before it is deleted. */
     boolean mayWrite(long used, long bytes, long largest) {
-        return used + bytes + reserve(largest) <= limit;
+        return used + bytes + cleaningReserve(largest) <= limitBytes;
     }
 
     /** Whether a segment of that size can be copied now. */
     boolean mayCopy(long used, long bytes) {
-        return used + bytes + segment <= limit;
+        return used + bytes + segmentBytes <= limitBytes;
     }
 
-    private long reserve(long largest) {
-        return Math.max(segment, largest) + segment;
+    private long cleaningReserve(long largest) {
+        return Math.max(segmentBytes, largest) + segmentBytes;
     }
 
     /**
      * Bytes of the log to go through now, after a write of so many: as much for each byte written as is left to clean for each
      * byte that is free, so that a whole round ends before the room does; 0: nothing is to be gained yet.
      */
-    long slice(long used, long live, long written) {
+    long bytesToClean(long used, long live, long written) {
         long garbage = used - live;
-        if (garbage < 2 * segment || garbage < live && limit - used > FREE_PART * limit) {
+        if (garbage < 2 * segmentBytes || garbage < live && limitBytes - used > MIN_FREE_SHARE * limitBytes) {
             return 0;
         }
-        long room = Math.max(1, limit - used - 2 * segment);
+        long room = Math.max(1, limitBytes - used - 2 * segmentBytes);
         double share = used / (double) room;
-        return Math.min(MOST_SLICE, Math.max(LEAST_SEGMENT, (long) Math.ceil(2 * share * written)));
+        return Math.min(MAX_SLICE_BYTES, Math.max(MIN_SEGMENT_BYTES, (long) Math.ceil(2 * share * written)));
     }
 }
--- a/store/src/main/java/wrenreach/store/Disk.java
+++ b/store/src/main/java/wrenreach/store/Disk.java
@@ -36,7 +36,7 @@
     Handle open(String name, boolean create) throws IOException;
 
     /** Opens a file for reading only. */
-    Handle read(String name) throws IOException;
+    Handle openReadOnly(String name) throws IOException;
 
     void delete(String name) throws IOException;
 
--- a/store/src/main/java/wrenreach/store/FolderDisk.java
+++ b/store/src/main/java/wrenreach/store/FolderDisk.java
@@ -14,10 +14,10 @@
 
 /** A folder of the machine, or of any file system that Java knows. */
 public final class FolderDisk implements Disk {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
-    private FileChannel lockFile;
+    private FileChannel lockChannel;
 
     /** The folder must be there. */
     public FolderDisk(Path folder) throws IOException {
@@ -28,16 +28,16 @@
     }
 
     @Override public void lock() throws IOException {
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockChannel = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
-            lock = lockFile.tryLock();
+            lock = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
             lock = null;
         }
         if (lock == null) {
-            lockFile.close();
-            lockFile = null;
+            lockChannel.close();
+            lockChannel = null;
             throw new IOException("store " + folder + " is open in another process");
         }
     }
@@ -45,7 +45,7 @@
     @Override public List<String> list() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(Files::isRegularFile).map(file -> file.getFileName().toString())
-                    .filter(name -> !name.equals(LOCK)).sorted().toList();
+                    .filter(name -> !name.equals(LOCK_FILE)).sorted().toList();
         }
     }
 
@@ -54,7 +54,7 @@
                 create ? StandardOpenOption.CREATE_NEW : StandardOpenOption.WRITE));
     }
 
-    @Override public Handle read(String name) throws IOException {
+    @Override public Handle openReadOnly(String name) throws IOException {
         return new File(FileChannel.open(folder.resolve(name), StandardOpenOption.READ));
     }
 
@@ -76,8 +76,8 @@
     }
 
     @Override public void close() throws IOException {
-        if (lockFile != null) {
-            lockFile.close();
+        if (lockChannel != null) {
+            lockChannel.close();
         }
     }
 
--- a/store/src/test/java/wrenreach/store/MemoryDisk.java
+++ b/store/src/test/java/wrenreach/store/MemoryDisk.java
@@ -11,22 +11,22 @@
 /** A disk under a test's control: it fills up, fails, and loses power at any operation, with what was not forced in any order. */
 final class MemoryDisk implements Disk {
     /** Power was lost. */
-    static final class Lost extends RuntimeException {
+    static final class PowerLost extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    private record Undone(int operation, Runnable undo) { }
+    private record UnforcedOperation(int operation, Runnable undo) { }
 
     final TreeMap<String, byte[]> files;
-    private final List<Undone> unforced = new ArrayList<>();
-    long room = Long.MAX_VALUE;
+    private final List<UnforcedOperation> unforced = new ArrayList<>();
+    long capacity = Long.MAX_VALUE;
     /** The operation at which power is lost, or which fails; counted from one. */
-    int lostAt = Integer.MAX_VALUE;
-    int failsAt = Integer.MAX_VALUE;
+    int powerLostAt = Integer.MAX_VALUE;
+    int failingOperation = Integer.MAX_VALUE;
     /** Whether each write tells that it wrote less than all. */
     boolean shortWrites;
     int operations;
-    private boolean lost;
+    private boolean powerLost;
 
     MemoryDisk() {
         this(new TreeMap<>());
@@ -36,12 +36,12 @@
         this.files = files;
     }
 
-    long used() {
+    long usedBytes() {
         return files.values().stream().mapToLong(bytes -> (bytes.length + 511L) / 512 * 512).sum();
     }
 
     /** What the next process finds: all that was done, or with what was not forced lost in part. */
-    MemoryDisk after(RandomGenerator random) {
+    MemoryDisk afterRestart(RandomGenerator random) {
         if (random != null) {
             for (int i = unforced.size() - 1; i >= 0; i--) {
                 if (random.nextBoolean()) {
@@ -54,13 +54,13 @@
         return new MemoryDisk(copy);
     }
 
-    private void operation() throws IOException {
+    private void countOperation() throws IOException {
         operations++;
-        if (lost || operations >= lostAt) {
-            lost = true;
-            throw new Lost();
+        if (powerLost || operations >= powerLostAt) {
+            powerLost = true;
+            throw new PowerLost();
         }
-        if (operations == failsAt) {
+        if (operations == failingOperation) {
             throw new IOException("the disk fails");
         }
     }
@@ -73,16 +73,16 @@
 
     @Override public Handle open(String name, boolean create) throws IOException {
         if (create) {
-            operation();
+            countOperation();
             if (files.putIfAbsent(name, new byte[0]) != null) {
                 throw new IOException(name + " is there");
             }
-            unforced.add(new Undone(operations, () -> files.remove(name)));
+            unforced.add(new UnforcedOperation(operations, () -> files.remove(name)));
         }
         return handle(name);
     }
 
-    @Override public Handle read(String name) {
+    @Override public Handle openReadOnly(String name) {
         return handle(name);
     }
 
@@ -102,15 +102,15 @@
             @Override public int write(long at, ByteBuffer from) throws IOException {
                 int length = shortWrites ? (from.remaining() + 1) / 2 : from.remaining();
                 try {
-                    operation();
-                } catch (Lost e) {
+                    countOperation();
+                } catch (PowerLost e) {
                     // The last write is torn: half of it is there.
                     put(at, from, length / 2);
                     throw e;
                 }
                 byte[] before = files.get(name);
                 long more = (at + length + 511) / 512 * 512 - (before.length + 511) / 512 * 512;
-                if (used() + Math.max(0, more) > room) {
+                if (usedBytes() + Math.max(0, more) > capacity) {
                     throw new IOException("no space left");
                 }
                 put(at, from, length);
@@ -122,7 +122,7 @@
                 byte[] bytes = Arrays.copyOf(before, (int) Math.max(before.length, at + length));
                 from.get(bytes, (int) at, length);
                 files.put(name, bytes);
-                unforced.add(new Undone(operations, () -> files.computeIfPresent(name, (n, now) -> {
+                unforced.add(new UnforcedOperation(operations, () -> files.computeIfPresent(name, (n, now) -> {
                     // What was written later behind it stays, over zeros.
                     byte[] without = now.length == at + length ? Arrays.copyOf(now, (int) at) : now.clone();
                     Arrays.fill(without, (int) Math.min(at, without.length), (int) Math.min(at + length, without.length), (byte) 0);
@@ -131,12 +131,12 @@
             }
 
             @Override public void truncate(long size) throws IOException {
-                operation();
+                countOperation();
                 files.put(name, Arrays.copyOf(files.get(name), (int) size));
             }
 
             @Override public void force() throws IOException {
-                operation();
+                countOperation();
                 unforced.clear();
             }
 
@@ -145,13 +145,13 @@
     }
 
     @Override public void delete(String name) throws IOException {
-        operation();
+        countOperation();
         byte[] before = files.remove(name);
-        unforced.add(new Undone(operations, () -> files.put(name, before)));
+        unforced.add(new UnforcedOperation(operations, () -> files.put(name, before)));
     }
 
     @Override public void forceDirectory() throws IOException {
-        operation();
+        countOperation();
         unforced.clear();
     }
 
--- a/store/src/test/java/wrenreach/store/ModelTest.java
+++ b/store/src/test/java/wrenreach/store/ModelTest.java
@@ -30,7 +30,7 @@
         return one.list().ofMinSize(1).ofMaxSize(150);
     }
 
-    @Property(tries = 400, seed = "20261201") void theStoreIsAlwaysOneOfTheStatesThatWerePromised(@ForAll("steps") List<Step> steps,
+    @Property(tries = 400, seed = "20261201") void contentIsOneOfTheStatesSinceTheLastForce(@ForAll("steps") List<Step> steps,
             @ForAll boolean sync) throws IOException {
         MemoryDisk disk = new MemoryDisk();
         Store store = Store.open(disk, LIMIT, sync, 3);
@@ -57,28 +57,28 @@
                         states = new ArrayList<>(List.of(model));
                     }
                     case REOPEN -> {
-                        store = reopened(disk, sync);
+                        store = reopen(disk, sync);
                         states = new ArrayList<>(List.of(model));
                     }
-                    default -> disk.lostAt = Math.min(disk.lostAt, disk.operations + 1 + step.size % 12);
+                    default -> disk.powerLostAt = Math.min(disk.powerLostAt, disk.operations + 1 + step.size % 12);
                 }
             } catch (Store.Full e) {
                 // Refused whole: nothing of it is there.
                 states.remove(states.size() - 1);
-            } catch (MemoryDisk.Lost e) {
-                disk = disk.after(sync ? new java.util.SplittableRandom(step.size) : null);
-                store = reopened(disk, sync);
+            } catch (MemoryDisk.PowerLost e) {
+                disk = disk.afterRestart(sync ? new java.util.SplittableRandom(step.size) : null);
+                store = reopen(disk, sync);
                 Map<String, String> found = content(store);
                 assertThat(states).contains(found);
                 model = found;
                 states = new ArrayList<>(List.of(found));
             }
-            assertThat(disk.used()).isLessThanOrEqualTo(LIMIT);
+            assertThat(disk.usedBytes()).isLessThanOrEqualTo(LIMIT);
             assertThat(content(store)).isEqualTo(model);
         }
     }
 
-    private static Store reopened(MemoryDisk disk, boolean sync) throws IOException {
+    private static Store reopen(MemoryDisk disk, boolean sync) throws IOException {
         return Store.open(disk, LIMIT, sync, 3);
     }
 
--- a/store/src/test/java/wrenreach/store/StoreTest.java
+++ b/store/src/test/java/wrenreach/store/StoreTest.java
@@ -38,7 +38,7 @@
     }
 
     /** Six batches, and what the store holds after each; the last state first. */
-    private static List<Map<String, String>> small(Store store) throws IOException {
+    private static List<Map<String, String>> writeFiveBatches(Store store) throws IOException {
         List<Map<String, String>> states = new ArrayList<>();
         states.add(content(store));
         store.write(new Batch().put("a", bytes("one")).put("b", bytes("two")));
@@ -58,7 +58,7 @@
         MemoryDisk disk = new MemoryDisk();
         List<Map<String, String>> states;
         try (Store store = open(disk)) {
-            states = small(store);
+            states = writeFiveBatches(store);
             assertThat(store.get("a")).isEqualTo(bytes("six"));
             assertThat(store.get("b")).isNull();
         }
@@ -71,14 +71,14 @@
     }
 
     /** A silently truncated file: what is left is one of the states that there were, and no batch is half there. */
-    @Test void cutAtEveryByteItIsOneOfTheStatesBetweenTwoBatches() throws Exception {
+    @Test void truncationAtAnyByteLeavesAStateBetweenBatches() throws Exception {
         MemoryDisk disk = new MemoryDisk();
-        List<Map<String, String>> states = small(open(disk));
+        List<Map<String, String>> states = writeFiveBatches(open(disk));
         String name = disk.files.firstKey();
         int length = disk.files.get(name).length;
         int latest = -1;
         for (int cut = 0; cut <= length; cut++) {
-            MemoryDisk shorter = disk.after(null);
+            MemoryDisk shorter = disk.afterRestart(null);
             shorter.files.put(name, java.util.Arrays.copyOf(shorter.files.get(name), cut));
             try (Store store = open(shorter)) {
                 assertThat(states).as("cut at " + cut).contains(content(store));
@@ -99,24 +99,24 @@
     }
 
     /** Damage anywhere costs the batch that it is in, and no other; that one is told of, unless it was the last. */
-    @Test void withAnyByteFlippedOnlyItsBatchIsMissing() throws Exception {
+    @Test void anyFlippedByteLosesOnlyItsBatch() throws Exception {
         MemoryDisk disk = new MemoryDisk();
-        small(open(disk));
+        writeFiveBatches(open(disk));
         String name = disk.files.firstKey();
         byte[] sound = disk.files.get(name);
         List<Integer> ends = new ArrayList<>();
-        for (int at = Store.FILE_HEAD; at < sound.length;) {
-            at += Batch.soundAt(sound, at, sound.length, SALT);
+        for (int at = Store.SEGMENT_HEADER_BYTES; at < sound.length;) {
+            at += Batch.validFrameLength(sound, at, sound.length, SALT);
             ends.add(at);
         }
         assertThat(ends).hasSize(5);
         for (int flipped = 0; flipped < sound.length; flipped++) {
             int hit = flipped;
-            int batch = flipped < Store.FILE_HEAD ? -1 : (int) ends.stream().filter(end -> end <= hit).count();
+            int batch = flipped < Store.SEGMENT_HEADER_BYTES ? -1 : (int) ends.stream().filter(end -> end <= hit).count();
             MemoryDisk expected = new MemoryDisk();
             try (Store without = open(expected)) {
                 for (int i = 0; i < ends.size(); i++) {
-                    int from = i == 0 ? Store.FILE_HEAD : ends.get(i - 1);
+                    int from = i == 0 ? Store.SEGMENT_HEADER_BYTES : ends.get(i - 1);
                     Batch same = new Batch();
                     Batch.entries(sound, from, ends.get(i) - from).forEach(e -> {
                         if (e.type() == Batch.PUT) {
@@ -129,32 +129,32 @@
                         without.write(same);
                     }
                 }
-                MemoryDisk damaged = disk.after(null);
+                MemoryDisk damaged = disk.afterRestart(null);
                 damaged.files.get(name)[flipped] ^= 0x40;
                 try (Store store = open(damaged)) {
                     assertThat(content(store)).as("byte " + flipped).isEqualTo(content(without));
                     assertThat(store.recovered().damaged()).as("byte " + flipped).isEqualTo(batch >= 0 && batch < 4);
                     assertThat(store.recovered().truncatedBytes() > 0).as("byte " + flipped).isEqualTo(batch == 4);
-                    assertThat(store.recovered().damagedRanges().stream().mapToLong(Store.DamagedRange::lost).sum()).isEqualTo(batch >= 0 && batch < 4 ? 1 : 0);
+                    assertThat(store.recovered().damagedRanges().stream().mapToLong(Store.DamagedRange::lostBatches).sum()).isEqualTo(batch >= 0 && batch < 4 ? 1 : 0);
                 }
             }
         }
     }
 
     /** A value that holds what looks like a batch is never taken for one, also where its own batch is damaged. */
-    @Test void aValueThatLooksLikeABatchIsNoBatch() throws Exception {
+    @Test void valueThatLooksLikeAFrameIsNotReadAsOne() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         Store store = open(disk);
         store.write(new Batch().put("bait", new Batch().put("invented", bytes("x")).frame(9, -1, SALT + 1)));
         store.write(new Batch().put("real", bytes("y")));
-        disk.files.get(disk.files.firstKey())[Store.FILE_HEAD + 2] ^= 1;
+        disk.files.get(disk.files.firstKey())[Store.SEGMENT_HEADER_BYTES + 2] ^= 1;
         Store again = open(disk);
         assertThat(content(again).keySet()).containsExactly("real");
         assertThat(again.recovered().damaged()).isTrue();
     }
 
     /** Random batches over few keys; what the map says, the store says. */
-    private static Batch random(SplittableRandom random, Map<String, String> model, int keys, int most) {
+    private static Batch randomBatch(SplittableRandom random, Map<String, String> model, int keys, int most) {
         Batch batch = new Batch();
         int count = 1 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
@@ -174,22 +174,22 @@
     /** At every operation of a busy day with cleaning, power is lost; what was promised is there, and nothing else. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void powerLostAtAnyOperationLeavesAStateThatWasPromised(boolean reordered) throws Exception {
+    void powerLossAtAnyOperationKeepsForcedBatches(boolean reordered) throws Exception {
         for (int seed = 1; seed <= 3; seed++) {
-            lostAtAny(seed, reordered);
+            losePowerAtEachOperation(seed, reordered);
         }
     }
 
-    private static void lostAtAny(int seed, boolean reordered) throws IOException {
-        int operations = busy(new MemoryDisk(), seed, new ArrayList<>(), new long[1], reordered);
+    private static void losePowerAtEachOperation(int seed, boolean reordered) throws IOException {
+        int operations = runWithCleaning(new MemoryDisk(), seed, new ArrayList<>(), new long[1], reordered);
         assertThat(operations).isGreaterThan(350);
         for (int lostAt = 1; lostAt <= operations; lostAt++) {
             MemoryDisk disk = new MemoryDisk();
-            disk.lostAt = lostAt;
+            disk.powerLostAt = lostAt;
             List<Map<String, String>> states = new ArrayList<>();
             long[] promised = new long[1];
-            busy(disk, seed, states, promised, reordered);
-            MemoryDisk left = disk.after(reordered ? new SplittableRandom(1000 * seed + lostAt) : null);
+            runWithCleaning(disk, seed, states, promised, reordered);
+            MemoryDisk left = disk.afterRestart(reordered ? new SplittableRandom(1000 * seed + lostAt) : null);
             try (Store store = Store.open(left, 40_000, reordered, SALT)) {
                 Map<String, String> found = content(store);
                 List<Map<String, String>> allowed = states.subList((int) Math.min(promised[0], states.size() - 1), states.size());
@@ -201,14 +201,14 @@
     }
 
     /** 220 batches in a store so small that it cleans all the time; states: after each batch; promised: the last one sure to stay. */
-    private static int busy(MemoryDisk disk, long seed, List<Map<String, String>> states, long[] promised, boolean sync) throws IOException {
+    private static int runWithCleaning(MemoryDisk disk, long seed, List<Map<String, String>> states, long[] promised, boolean sync) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, String> model = new TreeMap<>();
         states.add(Map.of());
         try {
             Store store = Store.open(disk, 40_000, sync, SALT);
             for (int i = 0; i < 220; i++) {
-                Batch batch = random(random, model, 12, 700);
+                Batch batch = randomBatch(random, model, 12, 700);
                 states.add(new TreeMap<>(model));
                 store.write(batch);
                 if (sync && i % 2 == 1) {
@@ -219,17 +219,17 @@
                 } else if (!sync) {
                     promised[0] = states.size() - 1;
                 }
-                assertThat(disk.used()).as("batch " + i).isLessThanOrEqualTo(40_000);
+                assertThat(disk.usedBytes()).as("batch " + i).isLessThanOrEqualTo(40_000);
             }
-            assertThat(store.stats().copied()).isPositive();
-        } catch (MemoryDisk.Lost e) {
+            assertThat(store.stats().copiedBytes()).isPositive();
+        } catch (MemoryDisk.PowerLost e) {
             return disk.operations;
         }
         return disk.operations;
     }
 
     /** The disk's bound holds at any instant, at ten times the usual rate, with few and with many keys. */
-    @Test void cleaningKeepsUpAndNeverTakesMoreThanItsRoom() throws Exception {
+    @Test void cleaningKeepsUpWithinTheDiskLimit() throws Exception {
         for (int keys : new int[] {1, 5, 40, 400}) {
             MemoryDisk disk = new MemoryDisk();
             Store store = open(disk);
@@ -238,27 +238,27 @@
             long refused = 0;
             for (int i = 0; i < 6000; i++) {
                 Map<String, String> next = new TreeMap<>(model);
-                Batch batch = random(random, next, keys, 300);
+                Batch batch = randomBatch(random, next, keys, 300);
                 if (!store.fits(0, batch.size())) {
                     refused++;
                     continue;
                 }
                 store.write(batch);
                 model = next;
-                assertThat(disk.used()).isLessThanOrEqualTo(LIMIT);
+                assertThat(disk.usedBytes()).isLessThanOrEqualTo(LIMIT);
             }
             assertThat(content(store)).isEqualTo(model);
-            assertThat(content(open(disk.after(null)))).isEqualTo(model);
-            assertThat(store.stats().behind()).as("writes that had to wait, " + keys + " keys").isZero();
+            assertThat(content(open(disk.afterRestart(null)))).isEqualTo(model);
+            assertThat(store.stats().delayedWrites()).as("writes that had to wait, " + keys + " keys").isZero();
             assertThat(refused).isLessThan(6000);
-            assertThat(store.stats().used()).isEqualTo(disk.used());
+            assertThat(store.stats().usedBytes()).isEqualTo(disk.usedBytes());
         }
     }
 
-    @Test void aFullFailingOrHesitantDiskLosesNothingThatWasWritten() throws Exception {
+    @Test void fullOrFailingDiskLosesNoWrittenBatch() throws Exception {
         for (int failsAt = 1; failsAt < 260; failsAt++) {
             MemoryDisk disk = new MemoryDisk();
-            disk.failsAt = failsAt;
+            disk.failingOperation = failsAt;
             disk.shortWrites = failsAt % 2 == 0;
             Map<String, String> model = new TreeMap<>();
             SplittableRandom random = new SplittableRandom(3);
@@ -266,8 +266,8 @@
             int failed = 0;
             for (int i = 0; i < 120; i++) {
                 Map<String, String> next = new TreeMap<>(model);
-                Batch batch = random(random, next, 12, 700);
-                disk.room = i > 60 && i < 70 ? disk.used() : Long.MAX_VALUE;
+                Batch batch = randomBatch(random, next, 12, 700);
+                disk.capacity = i > 60 && i < 70 ? disk.usedBytes() : Long.MAX_VALUE;
                 try {
                     store.write(batch);
                     model = next;
@@ -277,11 +277,11 @@
                 assertThat(content(store)).isEqualTo(model);
             }
             assertThat(failed).isPositive();
-            assertThat(content(Store.open(disk.after(null), 40_000, false, SALT))).as("failed at " + failsAt).isEqualTo(model);
+            assertThat(content(Store.open(disk.afterRestart(null), 40_000, false, SALT))).as("failed at " + failsAt).isEqualTo(model);
         }
     }
 
-    @Test void oneProcessAtATimeAndNoNewerVersion() throws Exception {
+    @Test void secondProcessAndNewerVersionAreRefused() throws Exception {
         try (Store store = open(new FolderDisk(folder))) {
             store.write(new Batch().put("a", bytes("b")));
             assertThatThrownBy(() -> open(new FolderDisk(folder))).isInstanceOf(IOException.class).hasMessageContaining("another process");
@@ -289,11 +289,11 @@
         }
         Path file = folder.resolve("segment-0000000000000001.log");
         byte[] newer = Files.readAllBytes(file);
-        for (int head = 0; head < Store.FILE_HEAD; head += Store.HEAD) {
+        for (int head = 0; head < Store.SEGMENT_HEADER_BYTES; head += Store.HEADER_BYTES) {
             ByteBuffer.wrap(newer).putInt(head + 8, 9);
             java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-            crc.update(newer, head, Store.HEAD - 4);
-            ByteBuffer.wrap(newer).putInt(head + Store.HEAD - 4, (int) crc.getValue());
+            crc.update(newer, head, Store.HEADER_BYTES - 4);
+            ByteBuffer.wrap(newer).putInt(head + Store.HEADER_BYTES - 4, (int) crc.getValue());
         }
         Files.write(file, newer);
         assertThatThrownBy(() -> open(new FolderDisk(folder))).isInstanceOf(Store.Unusable.class).hasMessageContaining("version 9");
@@ -301,23 +301,23 @@
         assertThatThrownBy(() -> new FolderDisk(file)).isInstanceOf(IOException.class);
     }
 
-    @Test void aSnapshotStaysWhatItWasWhileWritesGoOn() throws Exception {
+    @Test void snapshotIsUnchangedByLaterWrites() throws Exception {
         Store store = open(new FolderDisk(folder));
         SplittableRandom random = new SplittableRandom(5);
         Map<String, String> model = new TreeMap<>();
         for (int i = 0; i < 200; i++) {
-            store.write(random(random, model, 20, 300));
+            store.write(randomBatch(random, model, 20, 300));
         }
         Map<String, String> then = new TreeMap<>(model);
-        List<Store.Part> parts = store.snapshot();
+        List<Store.SnapshotPart> parts = store.snapshot();
         for (int i = 0; i < 100; i++) {
-            store.write(random(random, model, 20, 300));
+            store.write(randomBatch(random, model, 20, 300));
         }
         MemoryDisk copy = new MemoryDisk();
-        for (Store.Part part : parts) {
+        for (Store.SnapshotPart part : parts) {
             copy.files.put(part.name(), java.util.Arrays.copyOf(Files.readAllBytes(folder.resolve(part.name())), (int) part.length()));
         }
-        store.release();
+        store.releaseSnapshot();
         assertThat(content(open(copy))).isEqualTo(then);
         assertThat(content(store)).isEqualTo(model);
         store.close();
