--- a/store/src/main/java/wrenreach/store/Batch.java
+++ b/store/src/main/java/wrenreach/store/Batch.java
@@ -8,30 +8,39 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records that are written together: all of them or none. A frame on disk is length, CRC32C, sequence, the
- * sequence that was known to be forced when it was written (-1: nothing is ever forced), and the records; the CRC begins with the
- * store's salt and covers all but itself. The salt guards against values that hold what looks
- * like a frame. Each record is type, lengths of key and value, a CRC32C of its own, key and value.
+ * Records that are written together: all of them or none. A frame on disk consists of its length, a CRC32C, the sequence number, the
+ * sequence number that was known to be forced when it was written (-1: the store is never forced), and the records. The CRC begins
+ * with the store's salt and covers all of the frame but itself. Because of the salt, a value that imitates a frame is never taken for
+ * one. Each record consists of its type, the lengths of key and value, a CRC32C of its own, the key and the value.
  */
 public final class Batch {
-    /** Bytes of a frame before its records, and of a record before its key. */
-    static final int FRAME_HEADER_BYTES = 24, RECORD_HEADER_BYTES = 11;
-    /** Bytes that a key, a value and a whole batch may have. */
-    public static final int MAX_KEY_BYTES = 1024, MAX_VALUE_BYTES = 1 << 24, MAX_BYTES = 1 << 26;
-    static final byte PUT = 1, DELETE = 2;
-
-    /** One record. at: where in the frame it begins; value empty for a deletion. */
+    /** Bytes of a frame before its records. */
+    static final int FRAME_HEADER_BYTES = 24;
+    /** Bytes of a record before its key. */
+    static final int RECORD_HEADER_BYTES = 11;
+    /** Bytes that a key may have, in UTF-8. */
+    public static final int MAX_KEY_BYTES = 1024;
+    /** Bytes that a value may have. */
+    public static final int MAX_VALUE_BYTES = 1 << 24;
+    /** Bytes that all records of a batch may have together. */
+    public static final int MAX_BYTES = 1 << 26;
+    /** Type of a record that sets the value of its key. */
+    static final byte PUT = 1;
+    /** Type of a record that deletes its key. */
+    static final byte DELETE = 2;
+
+    /** One record: where in the frame it begins, and its length, in bytes. The value of a deletion is empty. */
     record Entry(byte type, String key, byte[] value, int offset, int length) { }
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
     private int count;
 
-    /** The key holds this value from now on. */
+    /** Sets the value of a key. */
     public Batch put(String key, byte[] value) {
         return add(PUT, key, value);
     }
 
-    /** The key holds nothing from now on. */
+    /** Deletes a key and its value. */
     public Batch delete(String key) {
         return add(DELETE, key, new byte[0]);
     }
@@ -68,11 +77,12 @@
         return count;
     }
 
-    /** Bytes that it takes on disk. */
+    /** Bytes of its frame on disk. */
     public int size() {
         return FRAME_HEADER_BYTES + bytes.size();
     }
 
+    /** The frame that is written to a segment. */
     byte[] frame(long sequence, long forced, int salt) {
         byte[] frame = new byte[size()];
         ByteBuffer buffer = ByteBuffer.wrap(frame).putInt(bytes.size()).putInt(0).putLong(sequence).putLong(forced);
@@ -81,7 +91,7 @@
         return frame;
     }
 
-    /** The CRC of a frame that stands there. */
+    /** The CRC of the frame that begins at the offset. */
     static int checksum(byte[] bytes, int at, int length, int salt) {
         CRC32C crc = new CRC32C();
         crc.update(ByteBuffer.allocate(4).putInt(0, salt));
@@ -90,7 +100,7 @@
         return (int) crc.getValue();
     }
 
-    /** The length of the sound frame that stands there; 0: none does. */
+    /** The length of the valid frame that begins at the offset; 0: there is none. */
     static int validFrameLength(byte[] bytes, int at, int end, int salt) {
         if (end - at < FRAME_HEADER_BYTES) {
             return 0;
@@ -110,7 +120,7 @@
         return ByteBuffer.wrap(bytes, at + 16, 8).getLong();
     }
 
-    /** The records of a sound frame. */
+    /** The records of a valid frame. */
     static List<Entry> entries(byte[] bytes, int at, int length) {
         List<Entry> all = new ArrayList<>();
         for (int next = at + FRAME_HEADER_BYTES; next < at + length;) {
@@ -127,7 +137,7 @@
         return all;
     }
 
-    /** The value of one record that was read by itself; null: it is not what was written. */
+    /** The value of a single record; null: it is damaged. */
     static byte[] recordValue(byte[] record) {
         ByteBuffer head = ByteBuffer.wrap(record);
         head.get();
--- a/store/src/main/java/wrenreach/store/Disk.java
+++ b/store/src/main/java/wrenreach/store/Disk.java
@@ -4,35 +4,39 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** The files of one store; what a test may put in its place. Names are plain, without folders. */
+/** The files of one store, behind an interface so that tests can inject faults. Names are plain file names, without folders. */
 public interface Disk extends AutoCloseable {
     /** One open file. */
     interface Handle extends AutoCloseable {
         /** Its length in bytes. */
         long size() throws IOException;
 
-        /** Fills the buffer from that place on as far as the file goes; how many bytes came. */
+        /** Fills the buffer from an offset on, up to the end of the file; returns how many bytes were read. */
         int read(long at, ByteBuffer to) throws IOException;
 
-        /** Writes at that place; it may write less than all, and tells how much. */
+        /** Writes at an offset; it may write less than all, and returns how many bytes it wrote. */
         int write(long at, ByteBuffer from) throws IOException;
 
-        /** Cuts the file off. */
+        /** Truncates the file to this size in bytes. */
         void truncate(long size) throws IOException;
 
-        /** Returns once what was written will outlast a loss of power. */
+        /** Returns once all that was written is on stable storage, safe from a loss of power. */
         void force() throws IOException;
 
         @Override void close() throws IOException;
     }
 
-    /** Takes the store for this process alone; IOException where another one has it. */
+    /**
+     * Locks the store for this process.
+     *
+     * @throws IOException another process has locked it
+     */
     void lock() throws IOException;
 
     /** The names of all files. */
     List<String> list() throws IOException;
 
-    /** Opens a file; create: it must not be there yet. */
+    /** Opens a file for reading and writing; with create it must not exist yet. */
     Handle open(String name, boolean create) throws IOException;
 
     /** Opens a file for reading only. */
@@ -40,7 +44,7 @@
 
     void delete(String name) throws IOException;
 
-    /** Returns once files made and deleted before will be so after a loss of power. */
+    /** Returns once creations and deletions of files so far are safe from a loss of power. */
     void forceDirectory() throws IOException;
 
     @Override void close() throws IOException;
--- a/store/src/main/java/wrenreach/store/FolderDisk.java
+++ b/store/src/main/java/wrenreach/store/FolderDisk.java
@@ -12,14 +12,15 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the machine, or of any file system that Java knows. */
+/** A folder of the default file system, or of any other that Java supports. */
 public final class FolderDisk implements Disk {
+    /** Name of the file whose lock keeps other processes out. */
     private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     private FileChannel lockChannel;
 
-    /** The folder must be there. */
+    /** Uses a folder that exists. */
     public FolderDisk(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new NotDirectoryException(folder.toString());
@@ -63,15 +64,15 @@
     }
 
     @Override public void forceDirectory() throws IOException {
-        FileChannel names;
+        FileChannel directory;
         try {
-            names = FileChannel.open(folder, StandardOpenOption.READ);
+            directory = FileChannel.open(folder, StandardOpenOption.READ);
         } catch (IOException e) {
-            // A system that opens no folders keeps names by itself.
+            // Where a directory can't be opened as a file, the operating system persists file names by itself.
             return;
         }
-        try (names) {
-            names.force(true);
+        try (directory) {
+            directory.force(true);
         }
     }
 
--- a/store/src/main/java/wrenreach/store/Store.java
+++ b/store/src/main/java/wrenreach/store/Store.java
@@ -12,11 +12,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * An embedded store of keys and values: batches appended to segments, an index in memory, the oldest segments cleaned in
- * slices. One thread owns it, but for {@link #force}. The format is in docs/store-format.md. It knows nothing of what it holds.
+ * An embedded log-structured key-value store. Batches are appended to segment files, an index of all keys is held in memory, and
+ * the oldest segments are cleaned (compacted) in slices. A store is confined to one thread, except for {@link Sync#force}. The file
+ * format is described in docs/store-format.md. Values are opaque to the store.
  */
 public final class Store implements AutoCloseable {
-    /** The store can't be used as it is; nothing was changed. */
+    /** The store can't be opened as it is, for instance because a newer version wrote it; nothing was changed. */
     public static final class Unusable extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -25,7 +26,7 @@
         }
     }
 
-    /** There is no room for a batch; nothing was written. */
+    /** The size limit leaves no room for a batch; nothing was written. */
     public static final class Full extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -34,49 +35,71 @@
         }
     }
 
-    /** Something that is not as it was written. lost: batches that are missing there; 0: only bytes that were given up. */
+    /**
+     * A range of a segment file that can't be read as it was written.
+     *
+     * @param offset where it begins, in bytes
+     * @param bytes its length
+     * @param lostBatches how many batches are missing there; 0: only bytes were skipped
+     */
     public record DamagedRange(String file, long offset, long bytes, long lostBatches) {
-        /** In words. */
+        /** The range as a text for logs and commands. */
         public String describe() {
             return file + ": " + bytes + " bytes from " + offset + " on can't be read" + (lostBatches > 0 ? ", " + lostBatches + " batches are lost" : "");
         }
     }
 
-    /** What opening found. torn: bytes of a last write that was never finished, cut off. */
+    /**
+     * What was found when the store was opened.
+     *
+     * @param truncatedBytes bytes of a last write that was never finished, which were cut off
+     * @param damagedRanges what could not be read
+     * @param batches how many batches were read
+     */
     public record RecoveryReport(long truncatedBytes, List<DamagedRange> damagedRanges, long batches) {
-        /** Whether batches that once were written are missing. */
+        /** Whether any written batches are missing. */
         public boolean damaged() {
-            return damagedRanges.stream().anyMatch(hole -> hole.lostBatches > 0);
+            return damagedRanges.stream().anyMatch(range -> range.lostBatches > 0);
         }
     }
 
     /**
-     * Sizes in bytes. copied: rewritten by cleaning; appended: written by callers; behind: writes that had to clean first;
-     * hindered: cleanings that the disk did not let go on.
+     * Counters and sizes of the store.
+     *
+     * @param keys keys that have a value
+     * @param segments segment files
+     * @param usedBytes size of all segments in whole blocks
+     * @param liveBytes size of the records that the index refers to
+     * @param appendedBytes bytes written by callers
+     * @param copiedBytes bytes rewritten by cleaning
+     * @param sequence sequence number of the last batch
+     * @param delayedWrites writes that had to wait for cleaning first
+     * @param failedCleanings cleanings that were stopped by an error of the disk
      */
     public record Stats(int keys, int segments, long usedBytes, long liveBytes, long appendedBytes, long copiedBytes, long sequence, long delayedWrites,
                         long failedCleanings) { }
 
+    /** Where the current record of a key stands; offset and length in bytes. */
     private record RecordLocation(Segment segment, long offset, int length) { }
 
-    /** What is not sure to outlast a loss of power yet; {@link #force} may run on a thread of its own. */
+    /** The writes that may not survive a loss of power yet. {@link #force} may run on any thread, while the store is in use. */
     public static final class Sync {
         private final Disk disk;
         private final List<Disk.Handle> files;
         private final boolean directoryChanged;
-        /** The last batch that it covers. */
+        /** Sequence number of the last batch that it covers. */
         private final long sequence;
         private final long ordinal;
 
-        private Sync(Disk disk, List<Disk.Handle> files, boolean names, long sequence, long order) {
-            this.ordinal = order;
+        private Sync(Disk disk, List<Disk.Handle> files, boolean directoryChanged, long sequence, long ordinal) {
+            this.ordinal = ordinal;
             this.disk = disk;
             this.files = files;
-            this.directoryChanged = names;
+            this.directoryChanged = directoryChanged;
             this.sequence = sequence;
         }
 
-        /** Returns once all of it will outlast a loss of power. */
+        /** Returns once all of these writes are on stable storage, safe from a loss of power. */
         public void force() throws IOException {
             for (Disk.Handle file : files) {
                 file.force();
@@ -87,13 +110,16 @@
         }
     }
 
-    /** One file; places: how many of its records the index points at; written: the last batch that went into it. */
+    /** One segment file. */
     private static final class Segment {
         final long number;
         final Disk.Handle file;
         long size;
+        /** Whether its end or its header is in doubt, so that nothing may be appended. */
         boolean unwritable;
+        /** How many of its records the index refers to. */
         int liveRecords;
+        /** Sequence number of the last batch that was written to it. */
         long lastSequence;
 
         Segment(long number, Disk.Handle file) {
@@ -103,15 +129,26 @@
     }
 
     private static final byte[] MAGIC = {'W', 'R', 'E', 'N', 'S', 'T', 'O', 'R'};
-    /** The head stands twice, so that damage to one of them costs nothing. */
-    static final int FORMAT_VERSION = 1, HEADER_BYTES = 36, SEGMENT_HEADER_BYTES = 2 * HEADER_BYTES, BLOCK_BYTES = 512;
-    private static final String PREFIX = "segment-", SUFFIX = ".log";
+    /** Version of the file format that is written; files of a newer one are refused. */
+    static final int FORMAT_VERSION = 1;
+    /** Size of one copy of a segment's header. */
+    static final int HEADER_BYTES = 36;
+    /** Size of a segment's header. It is stored twice, so that damage to one copy costs nothing. */
+    static final int SEGMENT_HEADER_BYTES = 2 * HEADER_BYTES;
+    /** Unit of space on the disk: the size of a file is counted in whole blocks. */
+    static final int BLOCK_BYTES = 512;
+    /** Beginning of the name of a segment file, before its number. */
+    private static final String PREFIX = "segment-";
+    /** End of the name of a segment file. */
+    private static final String SUFFIX = ".log";
 
     private final Disk disk;
     private final CompactionPlanner planner;
     private final boolean readOnly;
     private final boolean sync;
+    /** Where the value of each key stands. */
     private final TreeMap<String, RecordLocation> index = new TreeMap<>();
+    /** Oldest first; batches are appended to the last one. */
     private final List<Segment> segments = new ArrayList<>();
     private final List<DamagedRange> damagedRanges = new ArrayList<>();
     private long truncatedBytes;
@@ -121,18 +158,24 @@
     private long usedBytes;
     private long appendedBytes;
     private long copiedBytes;
+    /** How far the oldest segment has been cleaned, in bytes. */
     private long cleaningOffset = SEGMENT_HEADER_BYTES;
+    /** Snapshots that are being copied; nothing is cleaned meanwhile. */
     private int openSnapshots;
+    /** Begins the checksum of each frame, see {@link Batch}. */
     private int salt;
-    /** Whether it is known which sequence the log begins with. */
+    /** Whether it is known which sequence number the log begins with. */
     private boolean firstSequenceKnown;
+    /** Whether files were created or deleted since the last {@link #sync}. */
     private boolean directoryChanged;
-    /** Whether a file was deleted and the deletion not forced. */
+    /** Whether a file was deleted and the deletion is not forced yet. */
     private boolean deletionUnforced;
+    /** Ordinal of the first {@link Sync} that covers the last deletion. */
     private long deletionOrdinal;
     private long nextSyncOrdinal;
+    /** Sequence number of the last batch that is known to be forced. */
     private long forced;
-    /** The last batch when all of the oldest segment had been gone through; -1: that is still to come. */
+    /** Sequence number of the last batch when the whole of the oldest segment had been scanned; -1: not scanned yet. */
     private long scannedSequence = -1;
     private long delayedWrites;
     private long failedCleanings;
@@ -145,9 +188,11 @@
     }
 
     /**
-     * Opens a store for writing, or makes a new one. limit: bytes that it may take on disk, in steps of 512; sync: what was
-     * copied by cleaning is forced before its old place goes, and {@link #sync} is used; salt: any number that who hands in
-     * values can't know, for a new store.
+     * Opens a store for writing, or creates a new one.
+     *
+     * @param limit bytes that it may take on disk, in blocks of 512
+     * @param sync whether the caller uses {@link #sync}; copies made by cleaning are then forced before the original is deleted
+     * @param salt for a new store: any number that those who supply the values can't know
      */
     public static Store open(Disk disk, long limit, boolean sync, int salt) throws IOException {
         disk.lock();
@@ -156,7 +201,7 @@
         return finishOpening(store);
     }
 
-    /** Opens it for reading: nothing is locked, cut or written. */
+    /** Opens a store for reading only: nothing is locked, truncated or written. */
     public static Store openReadOnly(Disk disk) throws IOException {
         return finishOpening(new Store(disk, Long.MAX_VALUE / 4, true, false));
     }
@@ -165,7 +210,7 @@
         try {
             store.recover();
             if (store.sync) {
-                // What was found is promised from now on. Guards it: a batch to come says up to where all was forced.
+                // All that was recovered counts as durable from now on, since each later frame records up to which batch everything was forced.
                 Sync all = store.sync();
                 all.force();
                 store.forced(all);
@@ -185,7 +230,7 @@
         return name.matches(PREFIX + "\\d{16}" + SUFFIX.replace(".", "\\."));
     }
 
-    /** Whether a folder's files look like a store's. */
+    /** Whether a folder holds segment files of a store. */
     public static boolean isStore(Disk disk) throws IOException {
         return disk.list().stream().anyMatch(Store::isSegment);
     }
@@ -194,7 +239,7 @@
 
     private void recover() throws IOException {
         List<String> names = disk.list().stream().filter(Store::isSegment).sorted().toList();
-        // Nothing may be touched before all versions are known to be readable.
+        // All versions are checked first, so that a store of a newer version is left untouched.
         for (String name : names) {
             try (Disk.Handle file = disk.openReadOnly(name)) {
                 byte[] bytes = new byte[SEGMENT_HEADER_BYTES];
@@ -215,30 +260,33 @@
     }
 
     /**
-     * Whether what is missing before the place was never forced: then it was not promised, nor was anything behind it, and the
-     * log ends there. Else it is damage.
+     * Whether the batches that are missing before this offset were never forced. Then neither they nor anything after them were
+     * confirmed to anyone, and the log ends there; otherwise they are damage.
+     *
+     * @param later names of the segments that follow
      */
     private boolean isUnforcedTail(byte[] bytes, int from, List<String> later) throws IOException {
-        long most = maxForcedSequence(bytes, from);
+        long max = maxForcedSequence(bytes, from);
         for (String name : later) {
             try (Disk.Handle file = disk.openReadOnly(name)) {
                 byte[] more = new byte[Math.toIntExact(file.size())];
                 file.read(0, ByteBuffer.wrap(more));
-                most = Math.max(most, maxForcedSequence(more, SEGMENT_HEADER_BYTES));
+                max = Math.max(max, maxForcedSequence(more, SEGMENT_HEADER_BYTES));
             }
         }
-        return most >= 0 && most <= sequence;
+        return max >= 0 && max <= sequence;
     }
 
+    /** The highest forced sequence number that the valid frames from there on record; Long.MIN_VALUE: there are none. */
     private long maxForcedSequence(byte[] bytes, int from) {
-        long most = Long.MIN_VALUE;
+        long max = Long.MIN_VALUE;
         for (int at = findNextFrame(bytes, from); at >= 0; at = findNextFrame(bytes, at + 1)) {
-            most = Math.max(most, Batch.forcedSequence(bytes, at));
+            max = Math.max(max, Batch.forcedSequence(bytes, at));
         }
-        return most;
+        return max;
     }
 
-    /** Cuts the log off there. */
+    /** Truncates the log at this offset of the segment and deletes the later segments. */
     private void truncateLog(Segment segment, long at, List<String> later) throws IOException {
         truncatedBytes += segment.size - at;
         for (String name : later) {
@@ -247,7 +295,7 @@
             }
         }
         if (!readOnly) {
-            // The newest go first: a cut that is cut short leaves what the next start cuts again.
+            // The newest go first: if this is interrupted, the next start finds the same gap and truncates again.
             for (int i = later.size() - 1; i >= 0; i--) {
                 disk.delete(later.get(i));
             }
@@ -256,7 +304,7 @@
         }
     }
 
-    /** Where the first sound head stands; -1: neither is. */
+    /** Offset of the first valid copy of the header; -1: neither is valid. */
     private static int findHeader(byte[] bytes) {
         for (int at = 0; at + HEADER_BYTES <= Math.min(bytes.length, SEGMENT_HEADER_BYTES); at += HEADER_BYTES) {
             if (Arrays.equals(bytes, at, at + MAGIC.length, MAGIC, 0, MAGIC.length)
@@ -267,7 +315,7 @@
         return -1;
     }
 
-    /** Takes in one file; whether the log ends with it, whatever comes later. */
+    /** Reads one segment into the index; true: the log ends with it, whatever files follow. */
     private boolean recover(String name, List<String> later) throws IOException {
         boolean last = later.isEmpty();
         Disk.Handle file = readOnly ? disk.openReadOnly(name) : disk.open(name, false);
@@ -281,7 +329,7 @@
         int lastGood = SEGMENT_HEADER_BYTES;
         if (head < 0 || bytes.length < SEGMENT_HEADER_BYTES) {
             if (last && findNextFrame(bytes, 0) < 0) {
-                // A file that was begun and never got its first batch.
+                // The segment was created, but its first batch was never written.
                 truncatedBytes += bytes.length;
                 file.close();
                 if (!readOnly) {
@@ -291,7 +339,7 @@
             }
             damagedRanges.add(new DamagedRange(name, 0, Math.min(SEGMENT_HEADER_BYTES, bytes.length), 0));
             segment.unwritable = true;
-            // The first of all begins with the first batch, whatever became of its head.
+            // Segment 1 always begins with the first batch, even if its header is damaged.
             firstSequenceKnown |= number == 1;
         } else {
             long before = ByteBuffer.wrap(bytes).getLong(head + 20) - 1;
@@ -348,22 +396,22 @@
         return false;
     }
 
-    /** Bytes that could not be read are part of what is cut off. */
+    /** Forgets a range of unreadable bytes that ends there, since it is part of the tail that is truncated. */
     private void removeDamagedRangeBefore(String name, int end) {
-        damagedRanges.removeIf(hole -> hole.file.equals(name) && hole.offset + hole.bytes == end && hole.lostBatches == 0);
+        damagedRanges.removeIf(range -> range.file.equals(name) && range.offset + range.bytes == end && range.lostBatches == 0);
     }
 
-    /** The batches that are missing stand where bytes could not be read, if any. */
+    /** Records missing batches, as part of the unreadable range that ends there, if there is one. */
     private void recordLostBatches(String name, int before, long lost) {
-        DamagedRange hole = damagedRanges.isEmpty() ? null : damagedRanges.get(damagedRanges.size() - 1);
-        if (hole != null && hole.file.equals(name) && hole.offset + hole.bytes == before) {
-            damagedRanges.set(damagedRanges.size() - 1, new DamagedRange(name, hole.offset, hole.bytes, lost));
+        DamagedRange range = damagedRanges.isEmpty() ? null : damagedRanges.get(damagedRanges.size() - 1);
+        if (range != null && range.file.equals(name) && range.offset + range.bytes == before) {
+            damagedRanges.set(damagedRanges.size() - 1, new DamagedRange(name, range.offset, range.bytes, lost));
         } else {
             damagedRanges.add(new DamagedRange(name, before, 0, lost));
         }
     }
 
-    /** Where the next sound batch stands that is newer than all before; -1: there is none. */
+    /** Offset of the next valid frame whose batch is newer than all that were read; -1: there is none. */
     private int findNextFrame(byte[] bytes, int from) {
         for (int at = from; at + Batch.FRAME_HEADER_BYTES < bytes.length; at++) {
             int length = Batch.validFrameLength(bytes, at, bytes.length, salt);
@@ -390,14 +438,18 @@
         liveBytes += (entry.type() == Batch.PUT ? entry.length() : 0) - (before == null ? 0 : before.length);
     }
 
-    /** What opening found. */
+    /** What was found when the store was opened. */
     public RecoveryReport recovered() {
         return new RecoveryReport(truncatedBytes, List.copyOf(damagedRanges), recoveredBatches);
     }
 
     // ---- Reading ----
 
-    /** What a key holds; null: nothing. IOException: it can't be read, or not as it was written. */
+    /**
+     * The value of a key; null: it has none.
+     *
+     * @throws IOException the record can't be read, or its checksum is wrong
+     */
     public byte[] get(String key) throws IOException {
         RecordLocation place = index.get(key);
         if (place == null) {
@@ -415,14 +467,14 @@
         return place.segment.file.read(place.offset, record) < place.length ? null : Batch.recordValue(record.array());
     }
 
-    /** All keys and values in the order of the keys. */
-    public void forEach(BiConsumer<String, byte[]> takes) throws IOException {
+    /** Passes all keys and values to the consumer, in the order of the keys. */
+    public void forEach(BiConsumer<String, byte[]> consumer) throws IOException {
         for (Map.Entry<String, RecordLocation> entry : index.entrySet()) {
             byte[] value = readValue(entry.getValue());
             if (value == null) {
                 throw new IOException("the value of " + entry.getKey() + " is damaged");
             }
-            takes.accept(entry.getKey(), value);
+            consumer.accept(entry.getKey(), value);
         }
     }
 
@@ -436,18 +488,28 @@
 
     // ---- Writing ----
 
-    /** Whether new content of that size may be taken on; pledged: bytes that are still to come for what is held already. */
+    /**
+     * Whether new content of that size may be accepted.
+     *
+     * @param pledged bytes that are still to be written for content that was accepted before
+     */
     public boolean fits(long pledged, long bytes) {
         return planner.fits(liveBytes, pledged, bytes);
     }
 
-    /** Writes all of a batch or nothing; its sequence. Full: there is no room now. IOException: the disk failed. */
+    /**
+     * Writes all of a batch or nothing.
+     *
+     * @return the sequence number of the batch; of the last one where the batch is empty
+     * @throws Full there is no room at present
+     * @throws IOException the disk failed
+     */
     public long write(Batch batch) throws IOException {
         if (batch.isEmpty()) {
             return sequence;
         }
         if (!mayWrite(batch.size())) {
-            // What is behind with cleaning is made up for before anything is refused.
+            // Cleaning that has fallen behind is caught up with before a write is refused.
             delayedWrites++;
             clean(Long.MAX_VALUE, batch.size());
         }
@@ -459,7 +521,7 @@
         try {
             clean(planner.bytesToClean(usedBytes, liveBytes, batch.size()), 0);
         } catch (IOException e) {
-            // The batch is written. What hindered the cleaning will hinder a later write, or be over by then.
+            // The batch is written all the same. A lasting fault will show at a later write.
             failedCleanings++;
         }
         return written;
@@ -504,7 +566,7 @@
         }
     }
 
-    /** Takes back what a failed write may have left; where that fails too, the file is not written any more. */
+    /** Removes what a failed write may have left. Where that fails too, nothing is appended to the file any more. */
     private void undoWrite(Segment head, long size) {
         try {
             head.file.truncate(size);
@@ -513,12 +575,13 @@
             try {
                 setSize(head, Math.max(size, head.file.size()));
             } catch (IOException unknown) {
-                // It may be as long as the write would have made it; counted at the next start.
+                // Its size is unknown, at most what the write would have made it; the next start counts it.
                 return;
             }
         }
     }
 
+    /** Sets the size of a segment and counts the change as used. */
     private void setSize(Segment segment, long size) {
         usedBytes += roundUpToBlocks(size) - roundUpToBlocks(segment.size);
         segment.size = size;
@@ -554,7 +617,7 @@
         return (int) crc.getValue();
     }
 
-    /** What is to be forced for all that was written so far to outlast a loss of power. */
+    /** What has to be forced so that all that was written so far survives a loss of power. Pass it to {@link #forced} afterwards. */
     public Sync sync() {
         Sync next = new Sync(disk, segments.stream().filter(segment -> segment.lastSequence > forced).map(segment -> segment.file).toList(),
                 directoryChanged, sequence, nextSyncOrdinal++);
@@ -562,7 +625,7 @@
         return next;
     }
 
-    /** It has been forced. */
+    /** Records that {@link Sync#force} has succeeded. */
     public void forced(Sync done) {
         forced = Math.max(forced, done.sequence);
         deletionUnforced &= !done.directoryChanged || done.ordinal < deletionOrdinal;
@@ -570,7 +633,12 @@
 
     // ---- Cleaning ----
 
-    /** Goes through the oldest segments for so many bytes, or until a write of that size has room. */
+    /**
+     * Scans the oldest segments, copies their live records and deletes them.
+     *
+     * @param bytes how much to scan
+     * @param wanted size of a write; cleaning ends once there is room for it; 0: only after all of the bytes
+     */
     private void clean(long bytes, long wanted) throws IOException {
         long left = bytes;
         while (left > 0 && segments.size() > 1 && openSnapshots == 0 && (wanted == 0 || !mayWrite(wanted))) {
@@ -596,15 +664,15 @@
     }
 
     /**
-     * What has to be forced before the oldest segment may go: not its copies alone, also whatever replaced or deleted what it
-     * holds.
+     * The sequence number that has to be forced before the oldest segment may be deleted. It covers not only the copies of its
+     * live records, but also the batches that replaced or deleted its other records.
      */
     private long sequenceToForce() {
         scannedSequence = scannedSequence < 0 ? sequence : scannedSequence;
         return scannedSequence;
     }
 
-    /** Copies what is live of the next batches to the head of the log; how many bytes were gone through. */
+    /** Appends the live records of the next batches to the end of the log; returns how many bytes were scanned. */
     private long copyLiveRecords(Segment oldest, long budget) throws IOException {
         long begin = cleaningOffset;
         try {
@@ -615,12 +683,13 @@
             }
             return cleaningOffset - begin;
         } catch (IOException e) {
-            // Guards what could not be copied: it is gone through again.
+            // What could not be copied is scanned again; otherwise it would be deleted with the segment.
             cleaningOffset = begin;
             throw e;
         }
     }
 
+    /** Scans batches from the cleaning offset on, at least one, and collects their live records. */
     private Batch nextLiveRecords(Segment oldest, long budget) throws IOException {
         long begin = cleaningOffset;
         Batch copy = new Batch();
@@ -648,7 +717,7 @@
         return copy;
     }
 
-    /** Behind bytes that can't be read: at the first place after them that the index points into, or the end. */
+    /** Where to go on after bytes that can't be read: offset of the next valid frame, or the end of the segment. */
     private long nextFrameOffset(Segment oldest) throws IOException {
         byte[] rest = new byte[Math.toIntExact(oldest.size - cleaningOffset)];
         oldest.file.read(cleaningOffset, ByteBuffer.wrap(rest));
@@ -662,7 +731,7 @@
 
     private void deleteOldest(Segment oldest) throws IOException {
         if (oldest.liveRecords > 0) {
-            // Damage since it was written: what can't be read any more is told, and nothing is made up in its place.
+            // The segment was damaged after it was written: its unreadable records are reported as lost, and their keys have no value any more.
             damagedRanges.add(new DamagedRange(fileName(oldest.number), SEGMENT_HEADER_BYTES, oldest.size - SEGMENT_HEADER_BYTES, oldest.liveRecords));
             index.entrySet().removeIf(entry -> {
                 boolean lost = entry.getValue().segment == oldest;
@@ -670,8 +739,8 @@
                 return lost;
             });
         }
-        // Guards the order of deletions: the next one waits until this one will last. An older file that comes back alone would
-        // bring back what a younger one deletes.
+        // The next deletion waits until this one is forced. If an older file came back after a loss of power and a younger one did
+        // not, records would come back that the younger one deletes.
         deletionUnforced = true;
         deletionOrdinal = nextSyncOrdinal;
         directoryChanged = true;
@@ -685,16 +754,16 @@
 
     // ---- Snapshots ----
 
-    /** A file and how much of it belongs to the snapshot. */
+    /** A file, and how many of its bytes belong to the snapshot. */
     public record SnapshotPart(String name, long length) { }
 
-    /** The store as it is now; its files stay until {@link #release}, and only grow behind their lengths. */
+    /** The files of the store as it is now. Until {@link #releaseSnapshot} none is deleted, and they only grow beyond these lengths. */
     public List<SnapshotPart> snapshot() {
         openSnapshots++;
         return segments.stream().map(segment -> new SnapshotPart(fileName(segment.number), segment.size)).toList();
     }
 
-    /** A snapshot has been copied. */
+    /** Allows cleaning again, once the snapshot has been copied. */
     public void releaseSnapshot() {
         openSnapshots--;
     }
--- a/store/src/test/java/wrenreach/store/MemoryDisk.java
+++ b/store/src/test/java/wrenreach/store/MemoryDisk.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** A disk under a test's control: it fills up, fails, and loses power at any operation, with what was not forced in any order. */
+/** An in-memory disk that can be full, fail, or lose power at any operation; of what was not forced any part may be lost then. */
 final class MemoryDisk implements Disk {
     /** Power was lost. */
     static final class PowerLost extends RuntimeException {
@@ -19,11 +19,13 @@
 
     final TreeMap<String, byte[]> files;
     private final List<UnforcedOperation> unforced = new ArrayList<>();
+    /** Bytes that fit on the disk. */
     long capacity = Long.MAX_VALUE;
-    /** The operation at which power is lost, or which fails; counted from one. */
+    /** The operation at which power is lost; counted from 1. */
     int powerLostAt = Integer.MAX_VALUE;
+    /** The operation that fails with an IOException; counted from 1. */
     int failingOperation = Integer.MAX_VALUE;
-    /** Whether each write tells that it wrote less than all. */
+    /** Whether each write writes only a part of the bytes. */
     boolean shortWrites;
     int operations;
     private boolean powerLost;
@@ -40,7 +42,7 @@
         return files.values().stream().mapToLong(bytes -> (bytes.length + 511L) / 512 * 512).sum();
     }
 
-    /** What the next process finds: all that was done, or with what was not forced lost in part. */
+    /** The disk that the next process finds: with random, a part of what was not forced is lost; with null, nothing is. */
     MemoryDisk afterRestart(RandomGenerator random) {
         if (random != null) {
             for (int i = unforced.size() - 1; i >= 0; i--) {
@@ -104,7 +106,7 @@
                 try {
                     countOperation();
                 } catch (PowerLost e) {
-                    // The last write is torn: half of it is there.
+                    // The last write is torn: only half of it is on the disk.
                     put(at, from, length / 2);
                     throw e;
                 }
@@ -123,7 +125,7 @@
                 from.get(bytes, (int) at, length);
                 files.put(name, bytes);
                 unforced.add(new UnforcedOperation(operations, () -> files.computeIfPresent(name, (n, now) -> {
-                    // What was written later behind it stays, over zeros.
+                    // Bytes that were written later behind it stay; the lost ones read as zeros.
                     byte[] without = now.length == at + length ? Arrays.copyOf(now, (int) at) : now.clone();
                     Arrays.fill(without, (int) Math.min(at, without.length), (int) Math.min(at + length, without.length), (byte) 0);
                     return without;
--- a/store/src/test/java/wrenreach/store/ModelTest.java
+++ b/store/src/test/java/wrenreach/store/ModelTest.java
@@ -15,11 +15,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The store against a plain map: random steps and crashes, cut down by jqwik where they differ. */
+/** Compares the store with a plain map over random steps and crashes; jqwik shrinks the steps where they differ. */
 class ModelTest {
     private static final long LIMIT = 30_000;
 
-    /** One step. CRASH: power is lost after so many further operations of the disk; SYNC: all is forced. */
+    /** One step. CRASH: power is lost after some more operations of the disk, derived from the size; SYNC: everything is forced. */
     record Step(What what, int key, int size) {
         enum What { PUT, DELETE, BOTH, REOPEN, CRASH, SYNC }
     }
@@ -35,7 +35,7 @@
         MemoryDisk disk = new MemoryDisk();
         Store store = Store.open(disk, LIMIT, sync, 3);
         Map<String, String> model = new TreeMap<>();
-        // The states since the last promise; a crash leaves one of them.
+        // The states since the last point that is sure to be durable; a crash leaves one of them.
         List<Map<String, String>> states = new ArrayList<>(List.of(Map.of()));
         for (Step step : steps) {
             try {
@@ -63,7 +63,7 @@
                     default -> disk.powerLostAt = Math.min(disk.powerLostAt, disk.operations + 1 + step.size % 12);
                 }
             } catch (Store.Full e) {
-                // Refused whole: nothing of it is there.
+                // The batch was refused as a whole: nothing of it was written.
                 states.remove(states.size() - 1);
             } catch (MemoryDisk.PowerLost e) {
                 disk = disk.afterRestart(sync ? new java.util.SplittableRandom(step.size) : null);
--- a/store/src/test/java/wrenreach/store/StoreTest.java
+++ b/store/src/test/java/wrenreach/store/StoreTest.java
@@ -37,7 +37,7 @@
         return Store.open(disk, LIMIT, false, SALT);
     }
 
-    /** Six batches, and what the store holds after each; the last state first. */
+    /** Writes 5 batches; returns the content of the store before them and after each of them. */
     private static List<Map<String, String>> writeFiveBatches(Store store) throws IOException {
         List<Map<String, String>> states = new ArrayList<>();
         states.add(content(store));
@@ -70,7 +70,7 @@
         assertThatThrownBy(() -> new Batch().put("", new byte[1])).isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** A silently truncated file: what is left is one of the states that there were, and no batch is half there. */
+    /** A file that was truncated unnoticed leaves the store as it was after some batch; no batch is applied in part. */
     @Test void truncationAtAnyByteLeavesAStateBetweenBatches() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         List<Map<String, String>> states = writeFiveBatches(open(disk));
@@ -82,7 +82,7 @@
             shorter.files.put(name, java.util.Arrays.copyOf(shorter.files.get(name), cut));
             try (Store store = open(shorter)) {
                 assertThat(states).as("cut at " + cut).contains(content(store));
-                // Never an older state than for a shorter cut.
+                // A longer file never leaves an older state than a shorter one.
                 int state = (int) store.stats().sequence();
                 assertThat(content(store)).as("cut at " + cut).isEqualTo(states.get(state));
                 assertThat(state).isGreaterThanOrEqualTo(Math.max(0, latest));
@@ -98,7 +98,7 @@
         assertThat(latest).isEqualTo(5);
     }
 
-    /** Damage anywhere costs the batch that it is in, and no other; that one is told of, unless it was the last. */
+    /** A damaged byte loses its own batch and no other. The loss is reported, unless it is the last batch: that counts as never finished. */
     @Test void anyFlippedByteLosesOnlyItsBatch() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         writeFiveBatches(open(disk));
@@ -141,7 +141,7 @@
         }
     }
 
-    /** A value that holds what looks like a batch is never taken for one, also where its own batch is damaged. */
+    /** Recovery scans the bytes of a damaged batch for the next frame; a frame inside a value must not be taken for one. */
     @Test void valueThatLooksLikeAFrameIsNotReadAsOne() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         Store store = open(disk);
@@ -153,8 +153,8 @@
         assertThat(again.recovered().damaged()).isTrue();
     }
 
-    /** Random batches over few keys; what the map says, the store says. */
-    private static Batch randomBatch(SplittableRandom random, Map<String, String> model, int keys, int most) {
+    /** A random batch over a few keys, which is applied to the model as well. */
+    private static Batch randomBatch(SplittableRandom random, Map<String, String> model, int keys, int maxLength) {
         Batch batch = new Batch();
         int count = 1 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
@@ -163,7 +163,7 @@
                 batch.delete(key);
                 model.remove(key);
             } else {
-                String value = random.nextInt() + "x".repeat(random.nextInt(most));
+                String value = random.nextInt() + "x".repeat(random.nextInt(maxLength));
                 batch.put(key, bytes(value));
                 model.put(key, value);
             }
@@ -171,7 +171,7 @@
         return batch;
     }
 
-    /** At every operation of a busy day with cleaning, power is lost; what was promised is there, and nothing else. */
+    /** Power is lost at each operation of a run that cleans a lot: all that was confirmed is there, and nothing that was not written. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void powerLossAtAnyOperationKeepsForcedBatches(boolean reordered) throws Exception {
@@ -200,7 +200,13 @@
         }
     }
 
-    /** 220 batches in a store so small that it cleans all the time; states: after each batch; promised: the last one sure to stay. */
+    /**
+     * Writes 220 batches to a store so small that it cleans all the time.
+     *
+     * @param states receives the content after each batch
+     * @param promised receives the index of the last state that is sure to be durable
+     * @return operations of the disk
+     */
     private static int runWithCleaning(MemoryDisk disk, long seed, List<Map<String, String>> states, long[] promised, boolean sync) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, String> model = new TreeMap<>();
@@ -228,7 +234,7 @@
         return disk.operations;
     }
 
-    /** The disk's bound holds at any instant, at ten times the usual rate, with few and with many keys. */
+    /** With few and with many keys, at 10 times the usual rate, the size limit holds after every write and no write has to wait for cleaning. */
     @Test void cleaningKeepsUpWithinTheDiskLimit() throws Exception {
         for (int keys : new int[] {1, 5, 40, 400}) {
             MemoryDisk disk = new MemoryDisk();
