--- a/bench/src/main/java/wrenreach/bench/capacity/FleetSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/FleetSlopes.java
@@ -43,7 +43,8 @@
         for (int i = 0; i < nodes; i++) {
             DeliveryDispatcher choice = new DeliveryDispatcher(settings(i, nodes, seed));
             Endpoint endpoint = new Endpoint(1, new Destination(1), 0, 0);
-            choice.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE, List.of(new EndpointUpdate.Entry(endpoint, EndpointUpdate.State.READY, LIMIT))), start);
+            choice.endpointsUpdated(new EndpointUpdate(EndpointUpdate.Scope.WHOLE,
+                    List.of(new EndpointUpdate.Entry(endpoint, EndpointUpdate.State.READY, LIMIT))), start);
             choices.add(choice);
             endpoints.add(endpoint);
             // Each node has a few mails, that wait for the whole outage.
