--- a/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
@@ -20,10 +20,19 @@
 import wrenreach.store.FolderDisk;
 import wrenreach.store.Store;
 
-/** wrenreach store: looks at a store's folder, mends it, and measures one. */
+/** The command {@code wrenreach store}: inspects, repairs and benchmarks a store. */
 final class StoreCommand implements Command {
-    private static final int EXIT_SOUND = 0, EXIT_DAMAGED = 1, EXIT_NO_STORE = 2;
-    private static final int BENCH_VALUE_BYTES = 200, BENCH_BATCH_RECORDS = 10;
+    /** Exit code: the store is sound, or the command has succeeded. */
+    private static final int EXIT_SOUND = 0;
+    /** Exit code: the store is damaged, or reading or writing failed. */
+    private static final int EXIT_DAMAGED = 1;
+    /** Exit code: there is no usable store, or the command line is wrong. */
+    private static final int EXIT_NO_STORE = 2;
+    /** Size of each value that the benchmark writes. */
+    private static final int BENCH_VALUE_BYTES = 200;
+    /** Records in each batch of the benchmark. */
+    private static final int BENCH_BATCH_RECORDS = 10;
+    /** Size limit of the stores that repair and the benchmark write: 1 TiB, more than either needs. */
     private static final long MAX_STORE_BYTES = 1L << 40;
 
     @Override public String name() {
@@ -83,7 +92,7 @@
         }
     }
 
-    /** A folder that is not one. */
+    /** The folder holds no store. */
     private static final class NoStore extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -99,7 +108,7 @@
         return Integer.parseInt(text);
     }
 
-    /** The store's own folder: a state folder holds it under its name. */
+    /** The folder of the store itself: the argument may also be the state folder that contains it. */
     private static Path storeFolder(Path folder) throws IOException {
         Path under = folder.resolve(Journal.STORE);
         Path found = Files.isDirectory(under) ? under : folder;
@@ -119,7 +128,7 @@
                         stats.liveBytes(), stats.usedBytes(), stats.segments(), store.recovered().batches(), stats.sequence());
             }
             if (what.equals("check")) {
-                // Each value is read, not only the batches.
+                // Reads each value, to check the checksums of the records too.
                 store.forEach((key, value) -> { });
             }
             if (store.recovered().truncatedBytes() > 0) {
@@ -131,9 +140,9 @@
     }
 
     private static int held(Path folder, PrintStream out) throws IOException {
-        List<HeldMail> owed = StoreLedger.read(folder);
-        owed.forEach(mail -> out.println(mail.describe()));
-        out.println(owed.size() + " mails owed");
+        List<HeldMail> mails = StoreLedger.read(folder);
+        mails.forEach(mail -> out.println(mail.describe()));
+        out.println(mails.size() + " mails owed");
         return EXIT_SOUND;
     }
 
@@ -141,7 +150,7 @@
         return key.replace("\\", "\\\\").replace("\0", "\\0").replace("\n", "\\n").replace(" ", "\\s");
     }
 
-    /** Copies the files as they are, writes what can be read into a new store, and puts that in their place. */
+    /** Copies the files unchanged, writes what can be read into a new store, and replaces the old store by that. */
     private static int repair(Path folder, Path copy, PrintStream out) throws IOException {
         Files.createDirectories(copy);
         try (Stream<Path> there = Files.list(copy)) {
@@ -154,7 +163,7 @@
         if (Files.exists(fresh) || Files.exists(old)) {
             throw new IOException(fresh + " or " + old + " is left from an earlier repair");
         }
-        // Taken first: a node that has the store keeps it.
+        // The lock is taken first, so that a store that a running node has open is left alone.
         try (FolderDisk held = new FolderDisk(folder)) {
             held.lock();
             try (Stream<Path> files = Files.list(folder)) {
--- a/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
@@ -37,40 +37,65 @@
 import wrenreach.store.Store;
 
 /**
- * What is owed, in a store: a key for each mail (t), for each of its connects (c) and what became of it (n), for its ending
- * (e), for the id of one that has ended (r), for each hole that has been dealt with (h), and for the clock that all times are by
- * (b). An iteration's records are one batch. Where the disk takes no more, ballast is let go:
- * what is owed goes on in its room, and new mails are refused until it is back.
+ * A ledger of outstanding mails that is kept in a {@link Store}. There is a key for each mail (t), for each of its attempts (c), for
+ * an attempt that never ran (n), for the ending (e), for the id of a mail that has ended (r), for each damaged range that has been
+ * handled (h), and for the clock that all times refer to (b). The records of one iteration of the event loop are written as one batch.
+ * When the disk is full, reserved space is released: outstanding mails are completed in it, and new mails are refused until the space
+ * has been reserved again.
  */
 public final class StoreLedger implements Ledger {
     private static final System.Logger LOG = System.getLogger(StoreLedger.class.getName());
     private static final String JOURNAL = "journal";
-    private static final char ACCEPTED = 't', ATTEMPT = 'c', NEVER_RAN = 'n', ENDING = 'e', REMEMBERED = 'r', DAMAGED_RANGE = 'h', CLOCK = 'b';
-    /** The part of the room that is kept for what is owed already, for when the disk is full. */
+    /** First character of the key of an accepted mail; its id follows. */
+    private static final char ACCEPTED = 't';
+    /** First character of the key of an attempt; id, a zero character and the attempt's number follow. */
+    private static final char ATTEMPT = 'c';
+    /** First character of the key of an attempt that is known to have never run; the rest as for {@link #ATTEMPT}. */
+    private static final char NEVER_RAN = 'n';
+    /** First character of the key of an ending; the mail's id follows. */
+    private static final char ENDING = 'e';
+    /** First character of the key of a mail that has ended; its id follows. */
+    private static final char REMEMBERED = 'r';
+    /** First character of the key of a damaged range that has been handled; file and offset follow. */
+    private static final char DAMAGED_RANGE = 'h';
+    /** The key of the time base. */
+    private static final char CLOCK = 'b';
+    /** Part of the size limit that is reserved for outstanding mails, for when the disk is full. */
     private static final double RESERVED_SHARE = 0.125;
-    /** Bytes that a connect or an ending may take; a remembered id beside its length. */
-    private static final int MAX_RECORD_BYTES = 160, REMEMBERED_ID_OVERHEAD_BYTES = 64;
-    /** Ids forgotten in one turn; times that a write waits for what has to be forced before. */
-    private static final int MAX_EXPIRED_IDS_PER_ITERATION = 64, MAX_FORCES_PER_WRITE = 64;
+    /** Bytes that the record of an attempt or of an ending may take. */
+    private static final int MAX_RECORD_BYTES = 160;
+    /** Bytes that a remembered id takes beside its length. */
+    private static final int REMEMBERED_ID_OVERHEAD_BYTES = 64;
+    /** Remembered ids that are removed in one iteration of the event loop. */
+    private static final int MAX_EXPIRED_IDS_PER_ITERATION = 64;
+    /** How often one write forces the store in order to let cleaning make room for it. */
+    private static final int MAX_FORCES_PER_WRITE = 64;
 
     private final Store store;
     private final ReservedSpace reservedSpace;
+    /** Whether writes are forced, so that they survive a loss of power. */
     private final boolean sync;
+    /** How long ids of ended mails are remembered, in microseconds. */
     private final long rememberMicros;
+    /** Bytes that remembered ids may take. */
     private final long rememberBytes;
-    /** Microseconds of a clock that only goes forward. */
+    /** A monotonic clock, in microseconds. */
     private LongSupplier micros;
-    /** By which the records' times are; null: the wall's. */
+    /** The time base of the times in the records; null: wall-clock time. */
     private TimeBase timeBase;
     private final Map<String, HeldMail> outstandingMails = new LinkedHashMap<>();
-    /** When each id that is remembered ended, in microseconds; the oldest first. */
+    /** When the mail of each remembered id ended, in microseconds; the oldest first. */
     private final Map<String, Long> remembered = new LinkedHashMap<>();
     private long rememberedBytes;
+    /** Whether the store held batches of an earlier process when it was opened. */
     private final boolean resumed;
+    /** Number of the last accepted mail, which keeps mails in the order of acceptance. */
     private long lastAcceptOrder;
+    /** The records of this iteration, not written yet. */
     private Batch pending = new Batch();
     private Executor loop = Runnable::run;
     private Runnable onFailure = () -> { };
+    /** Runs {@link Store.Sync#force} on a thread of its own; null until it is needed. */
     private ExecutorService forceExecutor;
     private boolean closed;
     private ListLog listLog;
@@ -86,22 +111,29 @@
         load();
     }
 
-    /** Opens the store in a state folder; limit: bytes that it may hold; remember: microseconds, and bytes, of ended ids. */
+    /**
+     * Opens the store in a state folder.
+     *
+     * @param limit bytes that it may take on disk
+     * @param sync whether writes have to survive a loss of power
+     * @param remember how long ids of ended mails are remembered, in microseconds
+     * @param rememberBytes bytes that these ids may take
+     */
     public static StoreLedger open(Path state, long limit, boolean sync, long remember, long rememberBytes) throws IOException {
         return open(state, limit, sync, remember, rememberBytes, () -> System.nanoTime() / 1000, new SecureRandom().nextInt());
     }
 
-    /** The same with a clock of microseconds, used until {@link #startClock}, and a salt handed in. */
+    /** The same with a given salt and a given clock of microseconds, which is used until {@link #startClock}. */
     public static StoreLedger open(Path state, long limit, boolean sync, long remember, long rememberBytes, LongSupplier micros,
             int salt) throws IOException {
         Path journal = state.resolve(JOURNAL);
         Path folder = state.resolve(Journal.STORE);
-        Path made = state.resolve(Journal.STORE + ".new");
+        Path fresh = state.resolve(Journal.STORE + ".new");
         if (Files.exists(journal) && !Files.exists(folder)) {
-            migrateJournal(state, made, limit, salt);
-            Files.move(made, folder);
+            migrateJournal(state, fresh, limit, salt);
+            Files.move(fresh, folder);
         }
-        // What was carried over is in the store: the old file would only take room.
+        // The journal's mails are in the store by now: the old file would only take up space.
         Files.deleteIfExists(journal);
         Files.deleteIfExists(state.resolve(JOURNAL + ".next"));
         Files.createDirectories(folder);
@@ -118,7 +150,7 @@
         }
     }
 
-    /** What a state folder's store owes, in the order taken on; nothing is changed. */
+    /** The outstanding mails of the store in this folder, in the order of acceptance; nothing is changed. */
     static List<HeldMail> read(Path folder) throws IOException {
         try (StoreLedger ledger = new StoreLedger(Store.openReadOnly(new FolderDisk(folder)), new ReservedSpace(folder, 0), false, 0, 0,
                 () -> System.nanoTime() / 1000)) {
@@ -126,23 +158,23 @@
         }
     }
 
-    /** Puts what the journal owes into a new store beside it; one that was begun before is begun again. */
-    private static void migrateJournal(Path state, Path made, long limit, int salt) throws IOException {
-        if (Files.exists(made)) {
-            try (var files = Files.list(made)) {
+    /** Copies the outstanding mails of the journal into a new store beside it; an earlier copy that was interrupted is started over. */
+    private static void migrateJournal(Path state, Path fresh, long limit, int salt) throws IOException {
+        if (Files.exists(fresh)) {
+            try (var files = Files.list(fresh)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
                 }
             }
         }
-        Files.createDirectories(made);
-        List<HeldMail> owed = Journal.read(state);
-        try (StoreLedger ledger = new StoreLedger(Store.open(new FolderDisk(made), limit, true, salt), new ReservedSpace(made.resolve("ballast"), 0), true, 0, 0,
+        Files.createDirectories(fresh);
+        List<HeldMail> mails = Journal.read(state);
+        try (StoreLedger ledger = new StoreLedger(Store.open(new FolderDisk(fresh), limit, true, salt), new ReservedSpace(fresh.resolve("ballast"), 0), true, 0, 0,
                 () -> System.nanoTime() / 1000)) {
-            for (HeldMail mail : owed) {
+            for (HeldMail mail : mails) {
                 HeldMail copy = new HeldMail(mail.submission, mail.deadline);
                 ledger.accepted(copy);
-                mail.attempts.forEach(connect -> ledger.attemptStarted(copy, connect));
+                mail.attempts.forEach(attempt -> ledger.attemptStarted(copy, attempt));
                 if (mail.ending != null) {
                     ledger.ended(copy, mail.ending);
                 }
@@ -153,8 +185,8 @@
                 ledger.store.forced(all);
             }
         }
-        if (!owed.isEmpty()) {
-            LogEvent.log(LOG, Level.INFO, "store.carried", "{mails} mails carried over from the journal", "mails", owed.size());
+        if (!mails.isEmpty()) {
+            LogEvent.log(LOG, Level.INFO, "store.carried", "{mails} mails carried over from the journal", "mails", mails.size());
         }
     }
 
@@ -165,16 +197,16 @@
         Map<Long, HeldMail> byOrder = new TreeMap<>();
         Map<String, HeldMail> byId = new LinkedHashMap<>();
         List<String> others = new ArrayList<>();
-        Set<String> dealtWith = new TreeSet<>();
+        Set<String> handledRanges = new TreeSet<>();
         Map<Long, String> ended = new TreeMap<>();
         store.forEach((key, value) -> {
             try {
                 if (key.charAt(0) == ACCEPTED) {
-                    Entry.Accepted taken = (Entry.Accepted) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
-                    HeldMail held = new HeldMail(taken.submission(), taken.deadline());
+                    Entry.Accepted accepted = (Entry.Accepted) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
+                    HeldMail held = new HeldMail(accepted.submission(), accepted.deadline());
                     held.accepted = true;
                     byOrder.put(ByteBuffer.wrap(value).getLong(), held);
-                    byId.put(taken.id(), held);
+                    byId.put(accepted.id(), held);
                 } else if (key.charAt(0) == REMEMBERED) {
                     long at = ByteBuffer.wrap(value).getLong();
                     while (ended.putIfAbsent(at, key.substring(1)) != null) {
@@ -183,7 +215,7 @@
                 } else if (key.charAt(0) == CLOCK) {
                     timeBase = ((Entry.Clock) Entry.decode(value)).base();
                 } else if (key.charAt(0) == DAMAGED_RANGE) {
-                    dealtWith.add(key);
+                    handledRanges.add(key);
                 } else {
                     others.add(key);
                 }
@@ -191,29 +223,29 @@
                 throw new UncheckedIOException(e);
             }
         });
-        // In the order of the keys: connects before what is known of them.
-        List<String> left = new ArrayList<>();
+        // They come in the order of the keys, so that attempts (c) come before the records that refer to them (n).
+        List<String> orphans = new ArrayList<>();
         for (String key : others) {
-            apply(Entry.decode(store.get(key)), byId, key, left);
+            apply(Entry.decode(store.get(key)), byId, key, orphans);
         }
-        // Each hole once: it says nothing of mails taken on after it was found.
-        Set<String> holes = new TreeSet<>();
-        found.damagedRanges().stream().filter(hole -> hole.lostBatches() > 0).forEach(hole -> holes.add(DAMAGED_RANGE + hole.file() + "@" + hole.offset()));
-        boolean damaged = !dealtWith.containsAll(holes);
-        holes.stream().filter(hole -> !dealtWith.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
-        dealtWith.stream().filter(hole -> !holes.contains(hole)).forEach(pending::delete);
+        // Each damaged range counts only once: it says nothing of mails that were accepted after it was found.
+        Set<String> lostRanges = new TreeSet<>();
+        found.damagedRanges().stream().filter(hole -> hole.lostBatches() > 0).forEach(hole -> lostRanges.add(DAMAGED_RANGE + hole.file() + "@" + hole.offset()));
+        boolean damaged = !handledRanges.containsAll(lostRanges);
+        lostRanges.stream().filter(hole -> !handledRanges.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
+        handledRanges.stream().filter(hole -> !lostRanges.contains(hole)).forEach(pending::delete);
         byOrder.forEach((at, held) -> {
             lastAcceptOrder = at;
             held.attempts.sort((a, b) -> Integer.compare(a.number(), b.number()));
             if (damaged && held.ending == null) {
-                // Guards against a second effect: what is missing may have said that it went out, or that it was over.
+                // Prevents a second effect at the receiver: the missing records may have said that the mail was sent, or that it was completed.
                 attemptStarted(held, new RecordedAttempt(held.attempts.size(), "", 0, 0, false));
             }
             outstandingMails.put(held.submission.id(), held);
         });
         ended.forEach((at, id) -> remembered(id, at));
-        // Records whose mail is gone are of no use: only damage leaves them.
-        left.forEach(pending::delete);
+        // Records whose mail is missing are of no use; only damage leaves them behind.
+        orphans.forEach(pending::delete);
         if (found.truncatedBytes() > 0) {
             LogEvent.log(LOG, Level.WARNING, "store.torn", "store: cut off a torn tail of {bytes} bytes", "bytes", found.truncatedBytes());
         }
@@ -221,12 +253,12 @@
                 "store: {hole}; owed mails are taken to have gone out", "hole", hole.describe()));
     }
 
-    private static void apply(Entry entry, Map<String, HeldMail> byId, String key, List<String> left) {
+    private static void apply(Entry entry, Map<String, HeldMail> byId, String key, List<String> orphans) {
         HeldMail held = byId.get(entry.id());
         if (held == null) {
-            left.add(key);
-        } else if (entry instanceof Entry.AttemptStarted connecting) {
-            held.attempts.add(connecting.attempt());
+            orphans.add(key);
+        } else if (entry instanceof Entry.AttemptStarted started) {
+            held.attempts.add(started.attempt());
         } else if (entry instanceof Entry.NeverRan neverRan) {
             held.markNeverRan(neverRan.number());
         } else if (entry instanceof Entry.Ended ended) {
@@ -234,7 +266,7 @@
         }
     }
 
-    // ---- Notes of a turn ----
+    // ---- Records of an iteration ----
 
     @Override public void attach(Executor onLoop, Runnable whenFailed) {
         loop = onLoop;
@@ -263,9 +295,10 @@
 
     @Override public boolean fits(int bodyBytes, int before, int tries) {
         long each = (2L + 2 * tries) * MAX_RECORD_BYTES;
-        // Looked at here too: a node that refuses everything writes nothing.
+        // Tried here too: a node that refuses every new mail writes nothing, and would never get its reserved space back otherwise.
         restoreReservedSpace();
-        return reservedSpace.reserved() && store.fits(outstandingMails.size() * each + Math.max(0, rememberBytes - rememberedBytes), (1L + before) * (bodyBytes + MAX_RECORD_BYTES + each));
+        return reservedSpace.reserved() && store.fits(outstandingMails.size() * each + Math.max(0, rememberBytes - rememberedBytes),
+                (1L + before) * (bodyBytes + MAX_RECORD_BYTES + each));
     }
 
     @Override public boolean hasEnded(String id) {
@@ -283,12 +316,12 @@
         return kind + id + '\0' + number;
     }
 
-    @Override public void attemptStarted(HeldMail held, RecordedAttempt connect) {
-        held.attempts.add(connect);
+    @Override public void attemptStarted(HeldMail held, RecordedAttempt attempt) {
+        held.attempts.add(attempt);
         String id = held.submission.id();
-        pending.put(attemptKey(ATTEMPT, id, connect.number()), new Entry.AttemptStarted(id, connect).encode());
-        if (connect.neverRan()) {
-            pending.put(attemptKey(NEVER_RAN, id, connect.number()), new Entry.NeverRan(id, connect.number()).encode());
+        pending.put(attemptKey(ATTEMPT, id, attempt.number()), new Entry.AttemptStarted(id, attempt).encode());
+        if (attempt.neverRan()) {
+            pending.put(attemptKey(NEVER_RAN, id, attempt.number()), new Entry.NeverRan(id, attempt.number()).encode());
         }
     }
 
@@ -311,10 +344,10 @@
         }
         held.accepted = false;
         pending.delete(ACCEPTED + id);
-        for (RecordedAttempt connect : held.attempts) {
-            pending.delete(attemptKey(ATTEMPT, id, connect.number()));
-            if (connect.neverRan()) {
-                pending.delete(attemptKey(NEVER_RAN, id, connect.number()));
+        for (RecordedAttempt attempt : held.attempts) {
+            pending.delete(attemptKey(ATTEMPT, id, attempt.number()));
+            if (attempt.neverRan()) {
+                pending.delete(attemptKey(NEVER_RAN, id, attempt.number()));
             }
         }
         if (held.ending != null) {
@@ -332,6 +365,7 @@
         rememberedBytes += id.length() + REMEMBERED_ID_OVERHEAD_BYTES;
     }
 
+    /** Removes ids that are older than the time limit or exceed the byte limit, a bounded number at a time. */
     private void expireRememberedIds() {
         long before = micros.getAsLong() - rememberMicros;
         int count = 0;
@@ -392,7 +426,7 @@
         }
     }
 
-    /** One that cleaning can't make room for yet waits for what has to be forced before. */
+    /** Writes a batch. Where cleaning can't make room yet, it forces the store first, since cleaning may only delete what is forced. */
     private void append(Batch batch) throws IOException {
         for (int i = 0; ; i++) {
             try {
@@ -420,7 +454,7 @@
                 }
             };
         } catch (IOException e) {
-            // What a failed sync leaves is unknown: nothing can be promised on it any more.
+            // After a failed sync it is unknown what is on the disk: nothing written to it can be confirmed any more.
             LogEvent.log(LOG, Level.ERROR, "store.sync", "the store can't be forced to the disk, the node stops: {why}", "why",
                     e.getMessage());
             next = onFailure;
@@ -428,7 +462,7 @@
         try {
             loop.execute(next);
         } catch (RejectedExecutionException e) {
-            // The node has stopped meanwhile.
+            // The event loop has stopped in the meantime.
             return;
         }
     }
@@ -441,7 +475,7 @@
         return store.stats().appendedBytes() + store.stats().copiedBytes();
     }
 
-    /** What the store says of itself. */
+    /** Counters and sizes of the store. */
     public Store.Stats stats() {
         return store.stats();
     }
--- a/ledger/src/main/java/wrenreach/ledger/StoreSection.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreSection.java
@@ -4,7 +4,7 @@
 import wrenreach.operator.Section;
 import wrenreach.operator.Unit;
 
-/** [store]: what is owed lies in the store. Times in microseconds, sizes in bytes. */
+/** Section [store] of the operator's file: outstanding mails are kept in the store. Times are in microseconds. */
 record StoreSection(
         @Key(about = "os: what was written outlasts the process; sync: it outlasts a loss of power, and answers wait for it",
                 byDefault = "os", oneOf = {"os", "sync"}) String durability,
--- a/ledger/src/main/java/wrenreach/ledger/StoreSubsystem.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreSubsystem.java
@@ -11,7 +11,7 @@
 import wrenreach.held.Ledger;
 import wrenreach.operator.Section;
 
-/** The store as a subsystem: it takes the journal's place. */
+/** The subsystem that keeps outstanding mails in a store, instead of the journal. */
 public final class StoreSubsystem implements Subsystem<StoreSection> {
     @Override public Section<StoreSection> section() {
         return StoreSection.SECTION;
--- a/ledger/src/test/java/wrenreach/ledger/StoreLedgerTest.java
+++ b/ledger/src/test/java/wrenreach/ledger/StoreLedgerTest.java
@@ -23,7 +23,10 @@
 import wrenreach.held.Submission;
 
 class StoreLedgerTest {
-    private static final long LIMIT = 2_000_000, MINUTE = 60_000_000;
+    /** Bytes that the store may take. */
+    private static final long LIMIT = 2_000_000;
+    /** In microseconds. */
+    private static final long MINUTE = 60_000_000;
     @TempDir Path folder;
     private long wallMillis = 1_800_000_000_000L;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -48,32 +51,32 @@
         assertThat(ledger.write(() -> { })).isTrue();
     }
 
-    /** Three mails in an order that is not that of their ids: one out, one ended, one over. */
+    /** Three mails, in an order that is not that of their ids: one in flight, one ended, one completed. */
     private static void fill(Ledger ledger) throws IOException {
-        HeldMail out = mail("z", 10);
+        HeldMail inFlight = mail("z", 10);
         HeldMail ended = mail("b", 20);
-        HeldMail over = mail("y", 30);
-        for (HeldMail mail : List.of(out, over, ended)) {
+        HeldMail completed = mail("y", 30);
+        for (HeldMail mail : List.of(inFlight, completed, ended)) {
             ledger.accepted(mail);
         }
         write(ledger);
-        ledger.attemptStarted(out, attempt(0));
-        ledger.neverRan(out, 0);
-        ledger.attemptStarted(out, attempt(1));
-        ledger.attemptStarted(over, attempt(0));
+        ledger.attemptStarted(inFlight, attempt(0));
+        ledger.neverRan(inFlight, 0);
+        ledger.attemptStarted(inFlight, attempt(1));
+        ledger.attemptStarted(completed, attempt(0));
         write(ledger);
-        ledger.completed(over);
+        ledger.completed(completed);
         ledger.ended(ended, new Ending(true, 70));
         write(ledger);
     }
 
     private static void assertFilled(Ledger ledger) {
         assertThat(ids(ledger)).containsExactly("z", "b");
-        HeldMail out = ledger.outstanding().get(0);
-        assertThat(out.deadline).isEqualTo(99);
-        assertThat(out.submission.tag()).isEqualTo("tag z");
-        assertThat(out.submission.body()).hasSize(10);
-        assertThat(out.attempts).containsExactly(new RecordedAttempt(0, "e0", 1, 1000, true), attempt(1));
+        HeldMail inFlight = ledger.outstanding().get(0);
+        assertThat(inFlight.deadline).isEqualTo(99);
+        assertThat(inFlight.submission.tag()).isEqualTo("tag z");
+        assertThat(inFlight.submission.body()).hasSize(10);
+        assertThat(inFlight.attempts).containsExactly(new RecordedAttempt(0, "e0", 1, 1000, true), attempt(1));
         assertThat(ledger.outstanding().get(1).ending).isEqualTo(new Ending(true, 70));
         assertThat(ledger.resumed()).isTrue();
     }
@@ -114,7 +117,7 @@
         }
     }
 
-    /** Also where an earlier try was cut short at any of its files: nothing is lost, and nothing there twice. */
+    /** A migration that was interrupted is started over or finished: no mail is lost, and none is there twice. */
     @Test void journalIsMigratedExactlyOnce() throws Exception {
         try (Journal journal = Journal.open(folder, LIMIT)) {
             fill(journal);
@@ -126,7 +129,7 @@
         }
         assertThat(folder.resolve("journal")).doesNotExist();
         assertThatThrownBy(() -> Journal.open(folder, LIMIT)).isInstanceOf(IOException.class).hasMessageContaining("[store] has to stay on");
-        // The process ended between the store's taking its name and the old file's going.
+        // The process ended after the store got its final name and before the old file was deleted.
         Files.write(folder.resolve("journal"), new byte[] {0, 0, 0, 1});
         try (Ledger ledger = open(false, 0)) {
             assertFilled(ledger);
@@ -136,7 +139,7 @@
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("z class=order dest=3", "2 mails owed", "deferred");
     }
 
-    /** With sync, the turn's end comes only once its records are forced, on the loop. */
+    /** With sync, a write completes on the event loop, and only once its records are forced. */
     @Test void withSyncAWriteCompletesOnlyOnceForced() throws Exception {
         java.util.concurrent.BlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
         try (Ledger ledger = open(true, 0)) {
@@ -151,7 +154,7 @@
         }
     }
 
-    /** What is missing may have said that a mail went out: none is sent again as if it had not. */
+    /** A missing record may have said that a mail was sent, so none is sent again as if it had not been. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
     void afterDamageOutstandingMailsCountAsSent(int batch) throws Exception {
@@ -170,11 +173,11 @@
         try (Ledger ledger = open(false, 0)) {
             assertThat(ids(ledger)).containsExactly(batch == 0 ? "b" : "a", "c");
             assertThat(ledger.outstanding()).allSatisfy(held -> assertThat(held.attempts).hasSize(1)
-                    .allSatisfy(connect -> assertThat(connect.neverRan()).isFalse()));
+                    .allSatisfy(attempt -> assertThat(attempt.neverRan()).isFalse()));
             ledger.accepted(mail("later", 5));
             write(ledger);
         }
-        // The hole is still there; it says nothing of what came after it was found.
+        // The damaged range is still there; it says nothing of mails that came after it was found.
         try (Ledger ledger = open(false, 0)) {
             assertThat(ids(ledger)).hasSize(3).endsWith("later");
             assertThat(ledger.outstanding()).extracting(held -> held.attempts.size()).containsExactly(1, 1, 0);
@@ -183,12 +186,12 @@
 
     @Test void storeKeepsItsDiskLimit() throws Exception {
         try (StoreLedger ledger = open(false, 10_000)) {
-            int taken = 0;
+            int count = 0;
             while (ledger.fits(1000, 0, 4)) {
-                ledger.accepted(mail("m" + taken++, 1000));
+                ledger.accepted(mail("m" + count++, 1000));
                 write(ledger);
             }
-            assertThat(taken).isBetween(200, 900);
+            assertThat(count).isBetween(200, 900);
             for (HeldMail held : ledger.outstanding()) {
                 for (int i = 0; i < 4; i++) {
                     ledger.attemptStarted(held, attempt(i));
