--- a/bench/src/main/java/wrenreach/bench/LedgerRun.java
+++ b/bench/src/main/java/wrenreach/bench/LedgerRun.java
@@ -28,11 +28,11 @@
  * Arguments: rounds, turns a round, folder limit in bytes, mails held.
  */
 public final class LedgerRun {
-    private static final int BODY = 200;
+    private static final int BODY_BYTES = 200;
 
-    private record Measured(double turns, double p999, double most, double written) { }
+    private record RoundResult(double iterationsPerSecond, double p999Micros, double maxMicros, double writtenPerRecordedByte) { }
 
-    private interface Opens {
+    private interface LedgerFactory {
         Ledger open(Path folder, long limit) throws IOException;
     }
 
@@ -45,25 +45,25 @@
         int turns = Integer.parseInt(args[1]);
         long limit = Long.parseLong(args[2]);
         int held = Integer.parseInt(args[3]);
-        Map<String, Opens> all = new LinkedHashMap<>();
+        Map<String, LedgerFactory> all = new LinkedHashMap<>();
         all.put("journal", Journal::open);
         all.put("store os", (folder, most) -> StoreLedger.open(folder, most, false, 0, 0));
         all.put("store os, ids known", (folder, most) -> StoreLedger.open(folder, most, false, 600_000_000, most / 10));
         all.put("store sync", (folder, most) -> StoreLedger.open(folder, most, true, 0, 0));
-        System.out.printf(Locale.ROOT, "%d mails of %d bytes held, folder of %d bytes, %d rounds of %d turns%n", held, BODY, limit, rounds,
+        System.out.printf(Locale.ROOT, "%d mails of %d bytes held, folder of %d bytes, %d rounds of %d turns%n", held, BODY_BYTES, limit, rounds,
                 turns);
         System.out.printf("%-22s %6s %12s %12s %12s %14s%n", "ledger", "mails", "turns/s", "p99.9 us", "longest us", "bytes a byte");
         for (int mails : new int[] {1, 10, 100}) {
-            Map<String, List<Measured>> measured = new LinkedHashMap<>();
+            Map<String, List<RoundResult>> measured = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
-                for (Map.Entry<String, Opens> one : all.entrySet()) {
+                for (Map.Entry<String, LedgerFactory> one : all.entrySet()) {
                     measured.computeIfAbsent(one.getKey(), name -> new ArrayList<>())
                             .add(round(one.getValue(), one.getKey().endsWith("sync") ? turns / 10 : turns, limit, held, mails));
                 }
             }
             measured.forEach((name, list) -> System.out.printf(Locale.ROOT, "%-22s %6d %12.0f %12.0f %12.0f %14.2f%n", name, mails,
-                    median(list.stream().map(Measured::turns).toList()), median(list.stream().map(Measured::p999).toList()),
-                    median(list.stream().map(Measured::most).toList()), median(list.stream().map(Measured::written).toList())));
+                    median(list.stream().map(RoundResult::iterationsPerSecond).toList()), median(list.stream().map(RoundResult::p999Micros).toList()),
+                    median(list.stream().map(RoundResult::maxMicros).toList()), median(list.stream().map(RoundResult::writtenPerRecordedByte).toList())));
         }
     }
 
@@ -71,7 +71,7 @@
         return all.stream().sorted().toList().get(all.size() / 2);
     }
 
-    private static Measured round(Opens opens, int turns, long limit, int held, int mails) throws Exception {
+    private static RoundResult round(LedgerFactory opens, int turns, long limit, int held, int mails) throws Exception {
         Path folder = Files.createTempDirectory("wrenreach-bench-");
         Deque<HeldMail> under = new ArrayDeque<>();
         Histogram times = new Histogram(3);
@@ -83,44 +83,44 @@
             ledger.attach(Runnable::run, () -> System.err.println("failed"));
             int made = 0;
             while (under.size() < held) {
-                under.add(take(ledger, made++));
+                under.add(accept(ledger, made++));
                 write(ledger, lasts);
             }
             // The first turns warm up.
             for (int i = 0; i < turns / 4; i++) {
-                made = turn(ledger, under, made, mails);
+                made = runIteration(ledger, under, made, mails);
                 write(ledger, lasts);
             }
-            wroteBefore = written();
+            wroteBefore = bytesWritten();
             begin = System.nanoTime();
             for (int i = 0; i < turns; i++) {
                 long from = System.nanoTime();
-                made = turn(ledger, under, made, mails);
+                made = runIteration(ledger, under, made, mails);
                 write(ledger, lasts);
                 times.recordValue(System.nanoTime() - from);
                 noted += mails * 360L;
             }
         }
         double seconds = (System.nanoTime() - begin) / 1e9;
-        double written = (written() - wroteBefore) / (double) noted;
+        double written = (bytesWritten() - wroteBefore) / (double) noted;
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(one);
             }
         }
-        return new Measured(turns / seconds, times.getValueAtPercentile(99.9) / 1000.0, times.getMaxValue() / 1000.0, written);
+        return new RoundResult(turns / seconds, times.getValueAtPercentile(99.9) / 1000.0, times.getMaxValue() / 1000.0, written);
     }
 
-    private static HeldMail take(Ledger ledger, int number) {
+    private static HeldMail accept(Ledger ledger, int number) {
         HeldMail mail = new HeldMail(new Submission("mail-" + number, "key-" + number % 50, "order", "shop", "tag-" + number,
-                number % 9, new byte[BODY]), number);
+                number % 9, new byte[BODY_BYTES]), number);
         ledger.accepted(mail);
         return mail;
     }
 
-    private static int turn(Ledger ledger, Deque<HeldMail> under, int made, int mails) {
+    private static int runIteration(Ledger ledger, Deque<HeldMail> under, int made, int mails) {
         for (int i = 0; i < mails; i++) {
-            HeldMail mail = take(ledger, made + i);
+            HeldMail mail = accept(ledger, made + i);
             under.add(mail);
             ledger.attemptStarted(mail, new RecordedAttempt(0, "endpoint-" + i % 20, 0, made, false));
             ledger.completed(under.poll());
@@ -135,7 +135,7 @@
     }
 
     /** Bytes that this process has handed to the system to write, as Linux counts them. */
-    private static long written() throws IOException {
+    private static long bytesWritten() throws IOException {
         return Files.readAllLines(Path.of("/proc/self/io")).stream().filter(line -> line.startsWith("wchar"))
                 .mapToLong(line -> Long.parseLong(line.substring(7).strip())).findFirst().orElse(0);
     }
--- a/bench/src/main/java/wrenreach/bench/capacity/CapacityPage.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/CapacityPage.java
@@ -55,7 +55,7 @@
                         .map(m -> m.size() + ": " + m.note()).toList());
                 String unit = of.get(0).unit();
                 row(build, slope, fit == null ? "too few points" : text(fit.base()) + " + " + text(fit.slope()) + " x size, " + unit,
-                        fit == null ? "" : text(fit.spread()), fit == null ? "" : text(100 * fit.worst()) + "%",
+                        fit == null ? "" : text(fit.slopeError()), fit == null ? "" : text(100 * fit.worstDeviation()) + "%",
                         fit == null ? "" : fit.points() + ", " + fit.largest(), missing);
             }
         }
@@ -123,7 +123,7 @@
         double calls = value(last, "down.calls", (long) nodes);
         result("destinations", "calls at all that are down, each node with mails waiting for each", text(calls) + " x " + text(down),
                 last, calls * down, "calls a second", 0.01 * size.number("events_per_second"));
-        result("destinations", "calls at one that returns cold, in the worst " + FleetSlopes.TIP_SECONDS + " s, parts of what it bears",
+        result("destinations", "calls at one that returns cold, in the worst " + FleetSlopes.OVERLOAD_WINDOW_SECONDS + " s, parts of what it bears",
                 "measured, " + text(nodes) + " nodes", last, value(last, "back.window", (long) nodes), "", 1);
         result("destinations", "the same at a hundred nodes", "measured, 100 nodes", last, value(last, "back.window", 100), "", 1);
         double perHour = value(last, "down.notes", (long) nodes) / nodes;
--- a/bench/src/main/java/wrenreach/bench/capacity/DiscoverySlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/DiscoverySlopes.java
@@ -14,33 +14,33 @@
  * by itself, and a burst of them. Real processes, as many as one machine starts.
  */
 final class DiscoverySlopes {
-    private static final int PATIENCE_S = 60, LISTED = 1000, ROUNDS = 9;
+    private static final int START_TIMEOUT_S = 60, LISTED_DESTINATIONS = 1000, ROUNDS = 9;
 
     private DiscoverySlopes() { }
 
     static void measure(SizeFile size, String build, Path checkout, Path folder, int nodes, Consumer<Measurement> taker)
             throws IOException, InterruptedException {
         List<NodeProcess> all = new ArrayList<>();
-        try (Agent agent = new Agent()) {
-            agent.whole(SampleConfig.line(1, 1, LISTED + 1, true));
+        try (DiscoveryStub agent = new DiscoveryStub()) {
+            agent.wholeList(SampleConfig.line(1, 1, LISTED_DESTINATIONS + 1, true));
             for (int i = 0; i < nodes; i++) {
                 Path own = Files.createDirectories(folder.resolve("discovery-" + nodes + "-" + i));
-                Path config = SampleConfig.write(own.resolve("config.json"), size, LISTED, SampleConfig::unreachable, agent.port());
+                Path config = SampleConfig.write(own.resolve("config.json"), size, LISTED_DESTINATIONS, SampleConfig::unreachable, agent.port());
                 all.add(new NodeProcess(checkout, config, own.resolve("state"), own.resolve("log")));
             }
             for (NodeProcess node : all) {
-                if (Double.isNaN(node.serves(PATIENCE_S))) {
+                if (Double.isNaN(node.serves(START_TIMEOUT_S))) {
                     taker.accept(new Measurement(build, "nodes.change", nodes, Double.NaN, "ms", "a node does not serve"));
                     return;
                 }
             }
-            for (int i = 0; i < 500 && agent.watching() < nodes; i++) {
+            for (int i = 0; i < 500 && agent.watchCount() < nodes; i++) {
                 Thread.sleep(10);
             }
             int burst = size.count("burst");
-            int[] next = {LISTED + 1};
-            double[] one = rounds(agent, all, 1, next);
-            double[] many = rounds(agent, all, burst, next);
+            int[] next = {LISTED_DESTINATIONS + 1};
+            double[] one = measureRounds(agent, all, 1, next);
+            double[] many = measureRounds(agent, all, burst, next);
             taker.accept(new Measurement(build, "nodes.change", nodes, one[ROUNDS / 2], "ms", spread(one)));
             taker.accept(new Measurement(build, "nodes.burst", nodes, many[ROUNDS / 2], "ms", spread(many) + ", " + burst + " changes"));
         } finally {
@@ -51,13 +51,13 @@
     }
 
     /** Milliseconds until the last of so many changes holds at the last node, in order; NaN: never. */
-    private static double[] rounds(Agent agent, List<NodeProcess> nodes, int changes, int[] next) throws IOException, InterruptedException {
+    private static double[] measureRounds(DiscoveryStub agent, List<NodeProcess> nodes, int changes, int[] next) throws IOException, InterruptedException {
         double[] took = new double[ROUNDS];
         for (int round = 0; round < ROUNDS; round++) {
             Thread.sleep(100);
             long from = System.nanoTime();
             for (int i = 0; i < changes; i++, next[0]++) {
-                agent.tell(SampleConfig.line(next[0], next[0], next[0] + 1, false));
+                agent.send(SampleConfig.line(next[0], next[0], next[0] + 1, false));
             }
             for (NodeProcess node : nodes) {
                 took[round] = Math.max(took[round], 1000 * ListSlopes.inForce(node, next[0] - 1, from, "d" + round));
--- a/bench/src/main/java/wrenreach/bench/capacity/Agent.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/DiscoveryStub.java
@@ -16,18 +16,18 @@
  * A stand-in of discovery on loopback: takes watches, tells them what it is given and a blank line each second. Whole lists
  * that are asked for are answered by the last whole one told, notices are confirmed.
  */
-final class Agent implements AutoCloseable {
+final class DiscoveryStub implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<OutputStream> watches = new ArrayList<>();
-    private byte[] whole = "{\"index\":1,\"snapshot\":true,\"endpoints\":[]}\n".getBytes(StandardCharsets.US_ASCII);
-    private int asked;
+    private byte[] wholeList = "{\"index\":1,\"snapshot\":true,\"endpoints\":[]}\n".getBytes(StandardCharsets.US_ASCII);
+    private int requests;
 
-    Agent() throws IOException {
-        daemon(this::accept);
-        daemon(this::beat);
+    DiscoveryStub() throws IOException {
+        startDaemon(this::accept);
+        startDaemon(this::sendKeepAlives);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "agent");
         thread.setDaemon(true);
         thread.start();
@@ -38,11 +38,11 @@
     }
 
     /** How many watches and whole lists have been asked for. */
-    synchronized int asked() {
-        return asked;
+    synchronized int requests() {
+        return requests;
     }
 
-    synchronized int watching() {
+    synchronized int watchCount() {
         return watches.size();
     }
 
@@ -50,7 +50,7 @@
         try {
             while (true) {
                 Socket one = socket.accept();
-                daemon(() -> answer(one));
+                startDaemon(() -> answer(one));
             }
         } catch (IOException e) {
             return; // It has been closed.
@@ -62,26 +62,26 @@
             one.setTcpNoDelay(true);
             InputStream in = one.getInputStream();
             OutputStream out = new BufferedOutputStream(one.getOutputStream(), 1 << 16);
-            String head = head(in);
+            String head = readHead(in);
             // Guards the figures: a node whose notices are not confirmed posts them again for as long as it is measured.
             while (head.startsWith("POST ")) {
-                in.skipNBytes(length(head));
+                in.skipNBytes(contentLength(head));
                 out.write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 out.flush();
-                head = head(in);
+                head = readHead(in);
             }
             if (head.isEmpty()) {
                 return;
             }
             synchronized (this) {
-                asked++;
+                requests++;
                 if (head.indexOf("stream=1") >= 0) {
                     out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     out.flush();
                     watches.add(out);
                 } else {
-                    out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-                    out.write(whole);
+                    out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + wholeList.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                    out.write(wholeList);
                     out.flush();
                 }
             }
@@ -91,7 +91,7 @@
     }
 
     /** The next request's head; "": there is none. */
-    static String head(InputStream in) throws IOException {
+    static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int c = in.read();
@@ -103,16 +103,16 @@
         return head.toString();
     }
 
-    static long length(String head) {
+    static long contentLength(String head) {
         return head.lines().map(line -> line.toLowerCase(Locale.ROOT)).filter(line -> line.startsWith("content-length:"))
                 .mapToLong(line -> Long.parseLong(line.substring(line.indexOf(':') + 1).strip())).sum();
     }
 
-    private void beat() {
+    private void sendKeepAlives() {
         try {
             while (!socket.isClosed()) {
                 Thread.sleep(1000);
-                tell("\n".getBytes(StandardCharsets.US_ASCII));
+                send("\n".getBytes(StandardCharsets.US_ASCII));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -120,12 +120,12 @@
     }
 
     /** What a whole list that is asked for is from now on. */
-    synchronized void whole(byte[] list) {
-        whole = list;
+    synchronized void wholeList(byte[] list) {
+        wholeList = list;
     }
 
     /** Tells all watches; those that break are dropped. */
-    synchronized void tell(byte[] text) {
+    synchronized void send(byte[] text) {
         watches.removeIf(out -> {
             try {
                 out.write((Integer.toHexString(text.length) + "\r\n").getBytes(StandardCharsets.US_ASCII));
--- a/bench/src/main/java/wrenreach/bench/capacity/Fit.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/Fit.java
@@ -6,7 +6,7 @@
  * A straight line through measured points, by least squares: value = base + slope * size. spread: the standard error of the
  * slope; worst: the largest distance of a point from the line, as a part of its value. Three points or more.
  */
-record Fit(double base, double slope, double spread, double worst, int points, long largest) {
+record Fit(double base, double slope, double slopeError, double worstDeviation, int points, long largest) {
     static Fit of(List<Measurement> all) {
         List<Measurement> points = all.stream().filter(m -> !Double.isNaN(m.value())).toList();
         int n = points.size();
--- a/bench/src/main/java/wrenreach/bench/capacity/HeldSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/HeldSlopes.java
@@ -10,7 +10,7 @@
 
 /** What mails held cost a delivery node that starts with them: journal, recovery, memory. Bodies of 200 bytes. */
 final class HeldSlopes {
-    private static final int BODY = 200, PATIENCE_S = 60;
+    private static final int BODY_BYTES = 200, START_TIMEOUT_S = 60;
 
     private HeldSlopes() { }
 
@@ -22,7 +22,7 @@
         try (Journal journal = Journal.open(state, limit)) {
             long endsBy = 1000 * System.currentTimeMillis() + 3_600_000_000L;
             for (int i = 0; i < held; i++) {
-                journal.accepted(new HeldMail(new Submission("held-" + i, "5", "order", "shop", "key-" + i, 1, new byte[BODY]), endsBy));
+                journal.accepted(new HeldMail(new Submission("held-" + i, "5", "order", "shop", "key-" + i, 1, new byte[BODY_BYTES]), endsBy));
                 if (i % 1000 == 999) {
                     journal.write();
                 }
@@ -35,7 +35,7 @@
                 .replace("\"MaxOpen\": 100", "\"MaxOpen\": " + (held + 1000))
                 .replace("\"disk_mb\": 2}", "\"disk_mb\": " + size.count("disk_mb") + "}"));
         try (NodeProcess node = new NodeProcess(checkout, config, state, folder.resolve("log"))) {
-            double seconds = node.serves(PATIENCE_S);
+            double seconds = node.serves(START_TIMEOUT_S);
             String why = Double.isNaN(seconds) ? node.alive() ? "the process stays and serves nobody" : "exit " + node.exitCode() : "";
             taker.accept(new Measurement(build, "held.start", held, seconds, "s", why));
             if (!Double.isNaN(seconds)) {
--- a/bench/src/main/java/wrenreach/bench/capacity/ListSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/ListSlopes.java
@@ -58,7 +58,7 @@
 
     /** Start, memory and idle processor time with the list in the config. */
     private void fromTheConfig(int count) throws IOException, InterruptedException {
-        try (Agent agent = new Agent();
+        try (DiscoveryStub agent = new DiscoveryStub();
                 NodeProcess node = new NodeProcess(checkout, config(count, agent.port()), state(), folder.resolve("log"))) {
             double seconds = node.serves(PATIENCE_S);
             String why = Double.isNaN(seconds) ? node.alive() ? "the process stays and serves nobody" : "exit " + node.exitCode() : "";
@@ -83,26 +83,26 @@
         byte[] whole = SampleConfig.line(2, 1, count + 1, true);
         say("list.bytes", count, whole.length, "bytes", "");
         boolean inForce;
-        try (Agent agent = new Agent();
+        try (DiscoveryStub agent = new DiscoveryStub();
                 NodeProcess node = new NodeProcess(checkout, config(1, agent.port()), state, folder.resolve("log"))) {
-            agent.whole(SampleConfig.line(1, 1, 2, true));
+            agent.wholeList(SampleConfig.line(1, 1, 2, true));
             if (Double.isNaN(node.serves(PATIENCE_S)) || !watched(agent)) {
                 say("list.inforce", count, Double.NaN, "s", "no watch");
                 return;
             }
             Thread.sleep(300);
-            agent.whole(whole);
+            agent.wholeList(whole);
             double before = node.processorSeconds();
             long from = System.nanoTime();
             double longest;
             double seconds;
             try (Pings pings = new Pings(node)) {
-                agent.tell(whole);
+                agent.send(whole);
                 seconds = inForce(node, count, from, "w");
                 longest = pings.longest();
             }
             inForce = !Double.isNaN(seconds);
-            say("list.inforce", count, seconds, "s", inForce ? "" : "not in " + IN_FORCE_S + " s; asked " + agent.asked() + " times");
+            say("list.inforce", count, seconds, "s", inForce ? "" : "not in " + IN_FORCE_S + " s; asked " + agent.requests() + " times");
             say("list.cpu", count, inForce ? node.processorSeconds() - before : Double.NaN, "s", "");
             say("list.longest", count, inForce ? 1000 * longest : Double.NaN, "ms", inForce ? "longest time until a PING is answered"
                     : "the list was not taken");
@@ -116,7 +116,7 @@
             double[] times = new double[changes];
             for (int i = 0; i < changes; i++) {
                 from = System.nanoTime();
-                agent.tell(SampleConfig.line(3 + i, fresh + i, fresh + i + 1, false));
+                agent.send(SampleConfig.line(3 + i, fresh + i, fresh + i + 1, false));
                 times[i] = inForce(node, fresh + i, from, "c");
             }
             java.util.Arrays.sort(times);
@@ -127,7 +127,7 @@
             int many = 10 * changes;
             before = node.processorSeconds();
             for (int i = changes; i < changes + many; i++) {
-                agent.tell(SampleConfig.line(3 + i, fresh + i, fresh + i + 1, false));
+                agent.send(SampleConfig.line(3 + i, fresh + i, fresh + i + 1, false));
                 Thread.sleep(5);
             }
             boolean last = !Double.isNaN(inForce(node, fresh + changes + many - 1, System.nanoTime(), "l"));
@@ -143,7 +143,7 @@
                     .sum(), "bytes", "");
         }
         int gone;
-        try (Agent agent = new Agent()) {
+        try (DiscoveryStub agent = new DiscoveryStub()) {
             gone = agent.port();
         }
         try (NodeProcess node = new NodeProcess(checkout, config(1, gone), state, folder.resolve("log"))) {
@@ -153,11 +153,11 @@
         }
     }
 
-    private static boolean watched(Agent agent) throws InterruptedException {
-        for (int i = 0; i < 500 && agent.watching() == 0; i++) {
+    private static boolean watched(DiscoveryStub agent) throws InterruptedException {
+        for (int i = 0; i < 500 && agent.watchCount() == 0; i++) {
             Thread.sleep(10);
         }
-        return agent.watching() > 0;
+        return agent.watchCount() > 0;
     }
 
     /** Seconds until the node knows the destination; NaN: not in time. */
--- a/bench/src/main/java/wrenreach/bench/capacity/Receivers.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/Receivers.java
@@ -13,10 +13,10 @@
 
 /** Stands in for all receivers that are up: one port of loopback that answers every call with 200. */
 final class Receivers implements AutoCloseable {
-    private static final byte[] ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final ServerSocket socket = new ServerSocket(0, 1000, InetAddress.getLoopbackAddress());
-    private final AtomicLong called = new AtomicLong();
+    private final AtomicLong answeredCalls = new AtomicLong();
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work, "receivers");
         thread.setDaemon(true);
@@ -41,18 +41,18 @@
     }
 
     /** Calls answered so far. */
-    long called() {
-        return called.get();
+    long answeredCalls() {
+        return answeredCalls.get();
     }
 
     private void serve(Socket one) {
         try (one) {
             one.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(one.getInputStream());
-            for (String head = Agent.head(in); !head.isEmpty(); head = Agent.head(in)) {
-                in.skipNBytes(Agent.length(head));
-                one.getOutputStream().write(ANSWER);
-                called.incrementAndGet();
+            for (String head = DiscoveryStub.readHead(in); !head.isEmpty(); head = DiscoveryStub.readHead(in)) {
+                in.skipNBytes(DiscoveryStub.contentLength(head));
+                one.getOutputStream().write(RESPONSE);
+                answeredCalls.incrementAndGet();
             }
         } catch (IOException e) {
             return; // The node has closed it.
--- a/bench/src/main/java/wrenreach/bench/capacity/TrafficSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/TrafficSlopes.java
@@ -55,14 +55,14 @@
                 Files.delete(file);
             }
         }
-        try (Agent agent = new Agent(); Receivers receivers = new Receivers()) {
+        try (DiscoveryStub agent = new DiscoveryStub(); Receivers receivers = new Receivers()) {
             Path config = SampleConfig.write(folder.resolve("traffic.json"), size, destinations, words(layout, receivers.address()),
                     agent.port());
             Files.writeString(config, Files.readString(config).replace("\"GroupSize\": 1", "\"GroupSize\": " + size.count("nodes"))
                     .replace("\"QuotaPerS\": 10", "\"QuotaPerS\": " + ROOM).replace("\"MaxOpen\": 100", "\"MaxOpen\": " + ROOM));
             StringBuilder whole = new StringBuilder();
             SampleConfig.list(whole, 1, 1, destinations + 1, true, words(layout, receivers.address()));
-            agent.whole(whole.append('\n').toString().getBytes(StandardCharsets.US_ASCII));
+            agent.wholeList(whole.append('\n').toString().getBytes(StandardCharsets.US_ASCII));
             try (NodeProcess node = new NodeProcess(checkout, config, state, folder.resolve("log"))) {
                 if (Double.isNaN(node.serves(PATIENCE_S))) {
                     // For each figure that is not had: none of them is to be worked out from smaller sizes.
@@ -98,14 +98,14 @@
         int seconds = size.count("traffic_seconds");
         try (Load load = new Load(node, rate, destinations, random, slope)) {
             load.send(WARM_MS);
-            long relayed = receivers.called();
+            long relayed = receivers.answeredCalls();
             long asked = load.asked;
             Map<String, Long> before = node.threadNanos();
             long from = System.nanoTime();
             load.send(1000 * seconds);
             double took = (System.nanoTime() - from) / 1e9;
             say(slope, destinations, node.secondsSince(before) / took, "cores", String.format(Locale.ROOT,
-                    "%d handed in; %d relayed; of all %d taken; %d refused", load.asked - asked, receivers.called() - relayed,
+                    "%d handed in; %d relayed; of all %d taken; %d refused", load.asked - asked, receivers.answeredCalls() - relayed,
                     load.answers.get('+'), load.answers.get('-')));
         }
     }
--- a/bench/src/test/java/wrenreach/bench/capacity/CapacityTest.java
+++ b/bench/src/test/java/wrenreach/bench/capacity/CapacityTest.java
@@ -20,12 +20,12 @@
             PAGE = Path.of("docs/CAPACITY.md");
 
     /** Every figure of the page is worked out from the committed measurements: whoever changes one alone is told. */
-    @Test void theFiguresOnThePageAreThoseOfTheMeasurements() throws IOException {
+    @Test void pageMatchesTheMeasurements() throws IOException {
         assertThat(CapacityPage.onPage(PAGE)).isEqualTo(CapacityPage.figures(new SizeFile(SIZE), Measurement.read(CSV)));
     }
 
     /** Whichever figure of a slope with points enough for a line is changed: it shows. */
-    @Test void aFigureThatDiffersShows() throws IOException {
+    @Test void eachChangedMeasurementChangesThePage() throws IOException {
         List<Measurement> all = Measurement.read(CSV);
         int changed = 0;
         for (int i = 0; i < all.size(); i++) {
@@ -42,7 +42,7 @@
         assertThat(changed).isGreaterThan(50);
     }
 
-    @Test void aStraightLineIsFoundWithItsError() {
+    @Test void fitFindsALineAndItsError() {
         List<Measurement> points = new ArrayList<>();
         double[] off = {1, -1, -1, 1};
         for (int i = 0; i < 4; i++) {
@@ -52,14 +52,14 @@
         Fit fit = Fit.of(points);
         assertThat(fit.slope()).isCloseTo(3, within(1e-9));
         assertThat(fit.base()).isCloseTo(10, within(1e-9));
-        assertThat(fit.spread()).isCloseTo(Math.sqrt(4 / 2.0 / 5), within(1e-9));
-        assertThat(fit.worst()).isCloseTo(1 / 14.0, within(1e-9));
+        assertThat(fit.slopeError()).isCloseTo(Math.sqrt(4 / 2.0 / 5), within(1e-9));
+        assertThat(fit.worstDeviation()).isCloseTo(1 / 14.0, within(1e-9));
         assertThat(fit.points()).isEqualTo(4);
         assertThat(Fit.of(points.subList(0, 2))).isNull();
     }
 
     /** Counts of the hollow fleet are the same each time, and a receiver that is down for a minute gets calls. */
-    @Test void theHollowFleetCountsTheSameTwice() {
+    @Test void simulatedFleetIsDeterministic() {
         List<Measurement> first = new ArrayList<>(), second = new ArrayList<>();
         FleetSlopes.measure(7, "b", 10, first::add);
         FleetSlopes.measure(7, "b", 10, second::add);
@@ -74,7 +74,7 @@
      */
     @ParameterizedTest
     @CsvSource({"10", "30", "100", "300", "650"})
-    void aReceiverBearsItsReturnToNodesThatAllWait(int nodes) {
+    void returningReceiverIsNotOverloadedByWaitingNodes(int nodes) {
         for (int seed = 1; seed <= 3; seed++) {
             List<Measurement> all = new ArrayList<>();
             FleetSlopes.measure(seed, "b", nodes, all::add);
@@ -84,7 +84,7 @@
     }
 
     /** Real processes at a small size: each slope has its figure. */
-    @Test void theRigMeasuresASmallSize(@TempDir Path folder) throws Exception {
+    @Test void allSlopesAreMeasuredAtASmallSize(@TempDir Path folder) throws Exception {
         Path small = folder.resolve("small.properties");
         Files.writeString(small, Files.readString(SIZE).replaceAll("(?m)^(list_sizes|held_sizes|traffic_sizes) = .*", "$1 = 50")
                 .replaceAll("(?m)^(fleet|watch)_sizes = .*", "$1_sizes = 2").replaceAll("(?m)^idle_seconds = .*", "idle_seconds = 1")
@@ -100,7 +100,7 @@
         assertThat(all).allMatch(m -> !Double.isNaN(m.value()), "is had");
     }
 
-    @Test void aSizeFileThatLacksSomethingSaysWhat(@TempDir Path folder) throws IOException {
+    @Test void invalidSizeFileNamesTheKey(@TempDir Path folder) throws IOException {
         Path file = Files.writeString(folder.resolve("s.properties"), "nodes = many\n");
         assertThatThrownBy(() -> new SizeFile(file).number("nodes")).hasMessageContaining("s.properties: nodes: not a number");
         assertThatThrownBy(() -> new SizeFile(file).count("zones")).hasMessageContaining("zones is missing");
