--- a/bench/src/main/java/wrenreach/bench/StoreAppend.java
+++ b/bench/src/main/java/wrenreach/bench/StoreAppend.java
@@ -21,16 +21,17 @@
 import wrenreach.store.FolderDisk;
 import wrenreach.store.Store;
 
-/** One write of a batch into a store of 8 MB that cleans all the time, and one read. */
+/** Throughput of a store of 8 MB that cleans all the time: writes of one batch, and reads of one value. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
 @Fork(1)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class StoreAppend {
+    /** Distinct keys in the store. */
     private static final int KEYS = 4000;
 
-    /** Records of a batch. */
+    /** Records in a batch. */
     @Param({"1", "10", "100"})
     public int records;
 
@@ -39,7 +40,7 @@
     private Store store;
     private int next;
 
-    /** A store that holds 4,000 records. */
+    /** Creates a store that holds 4,000 records. */
     @Setup(Level.Iteration)
     public void open() throws IOException {
         folder = Files.createTempDirectory("wrenreach-bench-");
@@ -49,18 +50,18 @@
         }
     }
 
-    /** Removes it. */
+    /** Deletes the store. */
     @TearDown(Level.Iteration)
     public void close() throws IOException {
         store.close();
         try (Stream<Path> all = Files.walk(folder)) {
-            for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(one);
+            for (Path file : all.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         }
     }
 
-    /** Batches a second; each record replaces an older one. */
+    /** Batches per second; each record replaces an older one. */
     @Benchmark
     public long write() throws IOException {
         Batch batch = new Batch();
@@ -70,7 +71,7 @@
         return store.write(batch);
     }
 
-    /** Reads a second. */
+    /** Reads per second. */
     @Benchmark
     public byte[] read() throws IOException {
         return store.get("k" + next++ % KEYS);
--- a/bench/src/main/java/wrenreach/bench/capacity/Capacity.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/Capacity.java
@@ -11,7 +11,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Measures the slopes of a size, draws them, and works out the capacity page. Bounded; tells each figure as it has it. */
+/** Measures the slopes of a size, plots them, and computes the capacity page. Each figure is printed as soon as it is measured. */
 public final class Capacity {
     private static final String USAGE = """
             bench/capacity.sh measure SIZE.properties OUT.csv NAME=CHECKOUT...   measures builds by their built checkouts, in turns
@@ -93,15 +93,15 @@
         Files.createDirectories(folder);
         for (String slope : all.stream().map(Measurement::slope).distinct().toList()) {
             XYSeriesCollection data = new XYSeriesCollection();
-            List<Measurement> of = all.stream().filter(m -> m.slope().equals(slope) && !Double.isNaN(m.value())).toList();
-            for (String build : of.stream().map(Measurement::build).distinct().toList()) {
+            List<Measurement> points = all.stream().filter(m -> m.slope().equals(slope) && !Double.isNaN(m.value())).toList();
+            for (String build : points.stream().map(Measurement::build).distinct().toList()) {
                 XYSeries series = new XYSeries(build);
-                of.stream().filter(m -> m.build().equals(build)).forEach(m -> series.add(m.size(), m.value()));
+                points.stream().filter(m -> m.build().equals(build)).forEach(m -> series.add(m.size(), m.value()));
                 data.addSeries(series);
             }
-            if (!of.isEmpty()) {
+            if (!points.isEmpty()) {
                 ChartUtils.saveChartAsPNG(folder.resolve(slope + ".png").toFile(), ChartFactory.createXYLineChart(slope, "size",
-                        of.get(0).unit(), data), 640, 400);
+                        points.get(0).unit(), data), 640, 400);
             }
         }
     }
--- a/bench/src/main/java/wrenreach/bench/capacity/CapacityPage.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/CapacityPage.java
@@ -7,9 +7,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The part of the capacity page that is worked out from measured figures. The same figures make the same text. */
+/** The part of the capacity page that is computed from measured figures. The same figures give the same text. */
 final class CapacityPage {
-    private static final String BEGIN = "<!-- figures: written by bench/capacity.sh page -->\n", END = "<!-- end of figures -->\n";
+    /** Marks the beginning of the computed part of the page. */
+    private static final String BEGIN = "<!-- figures: written by bench/capacity.sh page -->\n";
+    /** Marks the end of the computed part of the page. */
+    private static final String END = "<!-- end of figures -->\n";
+    /** In seconds. */
     private static final double DAY = 86_400;
 
     private final SizeFile size;
@@ -27,7 +31,7 @@
                 + text.substring(text.indexOf(END)));
     }
 
-    /** What stands on the page now. */
+    /** The computed part of the page as it is now. */
     static String onPage(Path page) throws IOException {
         String text = Files.readString(page);
         return text.substring(text.indexOf(BEGIN) + BEGIN.length(), text.indexOf(END));
@@ -46,14 +50,14 @@
                 + "| not had |\n| --- | --- | --- | --- | --- | --- | --- |\n");
         for (String slope : all.stream().map(Measurement::slope).distinct().toList()) {
             for (String build : builds()) {
-                List<Measurement> of = of(build, slope);
-                if (of.isEmpty()) {
+                List<Measurement> points = of(build, slope);
+                if (points.isEmpty()) {
                     continue;
                 }
-                Fit fit = Fit.of(of);
-                String missing = String.join("; ", of.stream().filter(m -> Double.isNaN(m.value()))
+                Fit fit = Fit.of(points);
+                String missing = String.join("; ", points.stream().filter(m -> Double.isNaN(m.value()))
                         .map(m -> m.size() + ": " + m.note()).toList());
-                String unit = of.get(0).unit();
+                String unit = points.get(0).unit();
                 row(build, slope, fit == null ? "too few points" : text(fit.base()) + " + " + text(fit.slope()) + " x size, " + unit,
                         fit == null ? "" : text(fit.slopeError()), fit == null ? "" : text(100 * fit.worstDeviation()) + "%",
                         fit == null ? "" : fit.points() + ", " + fit.largest(), missing);
@@ -131,7 +135,7 @@
                 + "destination x " + text(down), last, perHour * down, "notes an hour", 3600);
     }
 
-    /** From the plan's figures and the measured ones; nothing of it is played. */
+    /** Computed from the planned and the measured figures; none of it is emulated. */
     private void failures() {
         out.append("\n### Failures: worked out, not emulated\n\n| failure | in that minute | cost | until all is as before |\n"
                 + "| --- | --- | --- | --- |\n");
@@ -159,14 +163,14 @@
     }
 
     private void measured(String role, String what, String build, String slope, long at, double factor, String unit, double limit) {
-        List<Measurement> of = of(build, slope);
-        Measurement there = of.stream().filter(m -> m.size() == at).findFirst().orElse(null);
+        List<Measurement> points = of(build, slope);
+        Measurement there = points.stream().filter(m -> m.size() == at).findFirst().orElse(null);
         if (there != null && !Double.isNaN(there.value())) {
             result(role, what, "measured there (" + slope + ")", build, there.value() * factor, unit, limit);
         } else if (there != null) {
             row(role, what, "measured there (" + slope + ")", build + ": none, " + there.note(), text(limit) + " " + unit, "**no**");
         } else {
-            // What could not be reached is told as worked out, and how far.
+            // A size that was not measured is extrapolated, and the row says how far.
             fitted(role, what, build, slope, at, factor, unit, limit);
         }
     }
@@ -199,7 +203,7 @@
         return of(build, slope).stream().filter(m -> m.size() == at).mapToDouble(Measurement::value).findFirst().orElse(Double.NaN);
     }
 
-    /** Three digits that count. */
+    /** The value with 3 significant digits. */
     private static String text(double value) {
         if (Double.isNaN(value)) {
             return "none";
--- a/bench/src/main/java/wrenreach/bench/capacity/DiscoverySlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/DiscoverySlopes.java
@@ -10,11 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * How long a change takes from discovery to in force at the last of several delivery nodes that watch one stand-in: one change
- * by itself, and a burst of them. Real processes, as many as one machine starts.
+ * Measures how long a change takes from discovery until it is in force at the last of several delivery nodes, which all watch one
+ * discovery stub: a single change, and a burst of changes. The nodes are real processes, as many as one machine can start.
  */
 final class DiscoverySlopes {
-    private static final int START_TIMEOUT_S = 60, LISTED_DESTINATIONS = 1000, ROUNDS = 9;
+    /** How long a node may take to serve, in seconds. */
+    private static final int START_TIMEOUT_S = 60;
+    /** Destinations that discovery lists at the start. */
+    private static final int LISTED_DESTINATIONS = 1000;
+    /** Rounds of which the median is taken; odd. */
+    private static final int ROUNDS = 9;
 
     private DiscoverySlopes() { }
 
@@ -39,10 +44,10 @@
             }
             int burst = size.count("burst");
             int[] next = {LISTED_DESTINATIONS + 1};
-            double[] one = measureRounds(agent, all, 1, next);
-            double[] many = measureRounds(agent, all, burst, next);
-            taker.accept(new Measurement(build, "nodes.change", nodes, one[ROUNDS / 2], "ms", spread(one)));
-            taker.accept(new Measurement(build, "nodes.burst", nodes, many[ROUNDS / 2], "ms", spread(many) + ", " + burst + " changes"));
+            double[] single = measureRounds(agent, all, 1, next);
+            double[] bursts = measureRounds(agent, all, burst, next);
+            taker.accept(new Measurement(build, "nodes.change", nodes, single[ROUNDS / 2], "ms", spread(single)));
+            taker.accept(new Measurement(build, "nodes.burst", nodes, bursts[ROUNDS / 2], "ms", spread(bursts) + ", " + burst + " changes"));
         } finally {
             for (NodeProcess node : all) {
                 node.close();
@@ -50,7 +55,7 @@
         }
     }
 
-    /** Milliseconds until the last of so many changes holds at the last node, in order; NaN: never. */
+    /** Milliseconds until the last of the changes is in force at the last node, for each round in ascending order; NaN: not in time. */
     private static double[] measureRounds(DiscoveryStub agent, List<NodeProcess> nodes, int changes, int[] next) throws IOException, InterruptedException {
         double[] took = new double[ROUNDS];
         for (int round = 0; round < ROUNDS; round++) {
--- a/bench/src/main/java/wrenreach/bench/capacity/DiscoveryStub.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/DiscoveryStub.java
@@ -13,8 +13,8 @@
 import java.util.Locale;
 
 /**
- * A stand-in of discovery on loopback: takes watches, tells them what it is given and a blank line each second. Whole lists
- * that are asked for are answered by the last whole one told, notices are confirmed.
+ * A stub of discovery on loopback. It accepts watches and sends them the given updates, and a blank line each second. Requests for a
+ * whole list are answered with the list that was set last; notices are confirmed.
  */
 final class DiscoveryStub implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -37,7 +37,7 @@
         return socket.getLocalPort();
     }
 
-    /** How many watches and whole lists have been asked for. */
+    /** How many watches and whole lists have been requested. */
     synchronized int requests() {
         return requests;
     }
@@ -49,21 +49,21 @@
     private void accept() {
         try {
             while (true) {
-                Socket one = socket.accept();
-                startDaemon(() -> answer(one));
+                Socket connection = socket.accept();
+                startDaemon(() -> answer(connection));
             }
         } catch (IOException e) {
-            return; // It has been closed.
+            return; // The stub has been closed.
         }
     }
 
-    private void answer(Socket one) {
+    private void answer(Socket connection) {
         try {
-            one.setTcpNoDelay(true);
-            InputStream in = one.getInputStream();
-            OutputStream out = new BufferedOutputStream(one.getOutputStream(), 1 << 16);
+            connection.setTcpNoDelay(true);
+            InputStream in = connection.getInputStream();
+            OutputStream out = new BufferedOutputStream(connection.getOutputStream(), 1 << 16);
             String head = readHead(in);
-            // Guards the figures: a node whose notices are not confirmed posts them again for as long as it is measured.
+            // Notices are confirmed, since a node would post them again for as long as it is measured, which would distort the figures.
             while (head.startsWith("POST ")) {
                 in.skipNBytes(contentLength(head));
                 out.write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -86,11 +86,11 @@
                 }
             }
         } catch (IOException e) {
-            return; // Whoever asked has gone.
+            return; // The node has closed the connection.
         }
     }
 
-    /** The next request's head; "": there is none. */
+    /** The header of the next request; "": the connection has ended. */
     static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -119,12 +119,12 @@
         }
     }
 
-    /** What a whole list that is asked for is from now on. */
+    /** Sets the response to requests for a whole list. */
     synchronized void wholeList(byte[] list) {
         wholeList = list;
     }
 
-    /** Tells all watches; those that break are dropped. */
+    /** Sends a text to all watches; those whose connection fails are dropped. */
     synchronized void send(byte[] text) {
         watches.removeIf(out -> {
             try {
--- a/bench/src/main/java/wrenreach/bench/capacity/HeldSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/HeldSlopes.java
@@ -8,9 +8,12 @@
 import wrenreach.held.Journal;
 import wrenreach.held.Submission;
 
-/** What mails held cost a delivery node that starts with them: journal, recovery, memory. Bodies of 200 bytes. */
+/** Measures what held mails cost a delivery node that starts with them: size of the journal, recovery time, memory. Bodies have 200 bytes. */
 final class HeldSlopes {
-    private static final int BODY_BYTES = 200, START_TIMEOUT_S = 60;
+    /** Size of the body of each mail. */
+    private static final int BODY_BYTES = 200;
+    /** How long the node may take to serve, in seconds. */
+    private static final int START_TIMEOUT_S = 60;
 
     private HeldSlopes() { }
 
@@ -20,9 +23,9 @@
         Files.deleteIfExists(state.resolve("journal"));
         long limit = (long) (1_000_000 * size.number("disk_mb"));
         try (Journal journal = Journal.open(state, limit)) {
-            long endsBy = 1000 * System.currentTimeMillis() + 3_600_000_000L;
+            long deadline = 1000 * System.currentTimeMillis() + 3_600_000_000L;
             for (int i = 0; i < held; i++) {
-                journal.accepted(new HeldMail(new Submission("held-" + i, "5", "order", "shop", "key-" + i, 1, new byte[BODY_BYTES]), endsBy));
+                journal.accepted(new HeldMail(new Submission("held-" + i, "5", "order", "shop", "key-" + i, 1, new byte[BODY_BYTES]), deadline));
                 if (i % 1000 == 999) {
                     journal.write();
                 }
--- a/bench/src/main/java/wrenreach/bench/capacity/ListSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/ListSlopes.java
@@ -13,9 +13,12 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** What a list of so many destinations of one endpoint each costs a delivery node: real processes, options as shipped. */
+/** Measures what a list of destinations with one endpoint each costs a delivery node, in real processes with the shipped options. */
 final class ListSlopes {
-    private static final int PATIENCE_S = 30, IN_FORCE_S = 12;
+    /** How long the node may take to serve, in seconds. */
+    private static final int START_TIMEOUT_S = 30;
+    /** How long a list may take to be in force, in seconds. */
+    private static final int IN_FORCE_TIMEOUT_S = 12;
 
     private final SizeFile size;
     private final String build;
@@ -36,7 +39,7 @@
         fromDiscovery(count);
     }
 
-    private void say(String slope, long at, double value, String unit, String note) {
+    private void report(String slope, long at, double value, String unit, String note) {
         taker.accept(new Measurement(build, slope, at, value, unit, note));
     }
 
@@ -48,46 +51,46 @@
         Path state = folder.resolve("state");
         if (Files.exists(state)) {
             try (Stream<Path> all = Files.walk(state)) {
-                for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(one);
+                for (Path file : all.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(file);
                 }
             }
         }
         return state;
     }
 
-    /** Start, memory and idle processor time with the list in the config. */
+    /** Measures start, memory and idle processor time with the list in the configuration. */
     private void fromTheConfig(int count) throws IOException, InterruptedException {
         try (DiscoveryStub agent = new DiscoveryStub();
                 NodeProcess node = new NodeProcess(checkout, config(count, agent.port()), state(), folder.resolve("log"))) {
-            double seconds = node.serves(PATIENCE_S);
+            double seconds = node.serves(START_TIMEOUT_S);
             String why = Double.isNaN(seconds) ? node.alive() ? "the process stays and serves nobody" : "exit " + node.exitCode() : "";
-            say("config.start", count, seconds, "s", why);
+            report("config.start", count, seconds, "s", why);
             if (Double.isNaN(seconds)) {
                 return;
             }
-            say("config.start.cpu", count, node.processorSeconds(), "s", "");
-            say("config.resident", count, node.residentBytes(), "bytes", "");
-            say("config.live", count, node.liveBytes(), "bytes", "");
+            report("config.start.cpu", count, node.processorSeconds(), "s", "");
+            report("config.resident", count, node.residentBytes(), "bytes", "");
+            report("config.live", count, node.liveBytes(), "bytes", "");
             int idle = size.count("idle_seconds");
             Map<String, Long> before = node.threadNanos();
             Thread.sleep(1000L * idle);
-            say("config.idle", count, node.secondsSince(before) / idle, "cores", "");
+            report("config.idle", count, node.secondsSince(before) / idle, "cores", "");
         }
     }
 
-    /** A whole list told on the watch, changes of one endpoint, and a restart from what is kept. */
+    /** Measures a whole list sent on the watch, changes of one endpoint, and a restart from the kept list. */
     private void fromDiscovery(int count) throws IOException, InterruptedException {
         Path state = state();
         int fresh = count + 1;
         byte[] whole = SampleConfig.line(2, 1, count + 1, true);
-        say("list.bytes", count, whole.length, "bytes", "");
+        report("list.bytes", count, whole.length, "bytes", "");
         boolean inForce;
         try (DiscoveryStub agent = new DiscoveryStub();
                 NodeProcess node = new NodeProcess(checkout, config(1, agent.port()), state, folder.resolve("log"))) {
             agent.wholeList(SampleConfig.line(1, 1, 2, true));
-            if (Double.isNaN(node.serves(PATIENCE_S)) || !watched(agent)) {
-                say("list.inforce", count, Double.NaN, "s", "no watch");
+            if (Double.isNaN(node.serves(START_TIMEOUT_S)) || !watched(agent)) {
+                report("list.inforce", count, Double.NaN, "s", "no watch");
                 return;
             }
             Thread.sleep(300);
@@ -102,16 +105,16 @@
                 longest = pings.longest();
             }
             inForce = !Double.isNaN(seconds);
-            say("list.inforce", count, seconds, "s", inForce ? "" : "not in " + IN_FORCE_S + " s; asked " + agent.requests() + " times");
-            say("list.cpu", count, inForce ? node.processorSeconds() - before : Double.NaN, "s", "");
-            say("list.longest", count, inForce ? 1000 * longest : Double.NaN, "ms", inForce ? "longest time until a PING is answered"
+            report("list.inforce", count, seconds, "s", inForce ? "" : "not in " + IN_FORCE_TIMEOUT_S + " s; asked " + agent.requests() + " times");
+            report("list.cpu", count, inForce ? node.processorSeconds() - before : Double.NaN, "s", "");
+            report("list.longest", count, inForce ? 1000 * longest : Double.NaN, "ms", inForce ? "longest time until a PING is answered"
                     : "the list was not taken");
             if (!inForce) {
                 return;
             }
             Thread.sleep(2500);
-            say("list.live", count, node.liveBytes(), "bytes", "");
-            say("list.resident", count, node.residentBytes(), "bytes", "");
+            report("list.live", count, node.liveBytes(), "bytes", "");
+            report("list.resident", count, node.residentBytes(), "bytes", "");
             int changes = size.count("changes");
             double[] times = new double[changes];
             for (int i = 0; i < changes; i++) {
@@ -120,9 +123,9 @@
                 times[i] = inForce(node, fresh + i, from, "c");
             }
             java.util.Arrays.sort(times);
-            say("change.inforce", count, 1000 * times[changes / 2], "ms", "median of " + changes + "; largest "
+            report("change.inforce", count, 1000 * times[changes / 2], "ms", "median of " + changes + "; largest "
                     + String.format(Locale.ROOT, "%.1f", 1000 * times[changes - 1]));
-            // Without anybody asking between them, which costs more than they do, and once the mails that asked have ended.
+            // Without probe mails between the changes, since these cost more than the changes, and after the earlier probe mails have ended.
             Thread.sleep(2500);
             int many = 10 * changes;
             before = node.processorSeconds();
@@ -131,15 +134,15 @@
                 Thread.sleep(5);
             }
             boolean last = !Double.isNaN(inForce(node, fresh + changes + many - 1, System.nanoTime(), "l"));
-            say("change.cpu", count, last ? 1000 * (node.processorSeconds() - before) / many : Double.NaN, "ms", "mean of " + many);
+            report("change.cpu", count, last ? 1000 * (node.processorSeconds() - before) / many : Double.NaN, "ms", "mean of " + many);
         }
         restart(count, fresh, state);
     }
 
-    /** With discovery gone: all that the next process knows is what was kept. */
+    /** Measures a restart without discovery, so that the node knows only the kept list. */
     private void restart(int count, int fresh, Path state) throws IOException, InterruptedException {
         try (Stream<Path> files = Files.list(state)) {
-            say("kept.bytes", count, files.filter(f -> f.getFileName().toString().startsWith("list")).mapToLong(f -> f.toFile().length())
+            report("kept.bytes", count, files.filter(f -> f.getFileName().toString().startsWith("list")).mapToLong(f -> f.toFile().length())
                     .sum(), "bytes", "");
         }
         int gone;
@@ -147,9 +150,9 @@
             gone = agent.port();
         }
         try (NodeProcess node = new NodeProcess(checkout, config(1, gone), state, folder.resolve("log"))) {
-            double seconds = node.serves(PATIENCE_S);
+            double seconds = node.serves(START_TIMEOUT_S);
             boolean known = !Double.isNaN(seconds) && node.knows(count, "r1") && node.knows(fresh, "r2");
-            say("restart.start", count, known ? seconds : Double.NaN, "s", known ? "" : "what was told is not known any more");
+            report("restart.start", count, known ? seconds : Double.NaN, "s", known ? "" : "what was told is not known any more");
         }
     }
 
@@ -160,9 +163,9 @@
         return agent.watchCount() > 0;
     }
 
-    /** Seconds until the node knows the destination; NaN: not in time. */
+    /** Seconds since the given instant until the node knows the destination; NaN: not in time. */
     static double inForce(NodeProcess node, int destination, long from, String id) throws IOException, InterruptedException {
-        for (int i = 0; System.nanoTime() - from < IN_FORCE_S * 1_000_000_000L && node.alive(); i++) {
+        for (int i = 0; System.nanoTime() - from < IN_FORCE_TIMEOUT_S * 1_000_000_000L && node.alive(); i++) {
             try {
                 if (node.knows(destination, id + destination + "-" + i)) {
                     return (System.nanoTime() - from) / 1e9;
@@ -175,7 +178,7 @@
         return Double.NaN;
     }
 
-    /** One client that asks PING after PING: the longest answer bounds the longest turn from above. */
+    /** A client that sends one PING after another; the longest response time is an upper bound of the longest iteration of the event loop. */
     private static final class Pings implements AutoCloseable {
         private final AtomicBoolean over = new AtomicBoolean();
         private final AtomicLong longest = new AtomicLong();
--- a/bench/src/main/java/wrenreach/bench/capacity/Measurement.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/Measurement.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One measured figure: of a build, of a slope, at a size. value is NaN where it could not be had, and note says why. */
+/** One measured figure of a build, for a slope at a size. The value is NaN where it could not be measured; the note then says why. */
 record Measurement(String build, String slope, long size, double value, String unit, String note) {
     static final String HEAD = "build,slope,size,value,unit,note";
 
@@ -27,12 +27,12 @@
             if (line.isBlank() || line.equals(HEAD)) {
                 continue;
             }
-            String[] w = line.split(",", -1);
-            if (w.length != 6) {
+            String[] fields = line.split(",", -1);
+            if (fields.length != 6) {
                 throw new IOException(csv + ": not six fields: " + line);
             }
-            read.add(new Measurement(w[0], w[1], Long.parseLong(w[2]), w[3].isEmpty() ? Double.NaN : Double.parseDouble(w[3]),
-                    w[4], w[5]));
+            read.add(new Measurement(fields[0], fields[1], Long.parseLong(fields[2]), fields[3].isEmpty() ? Double.NaN : Double.parseDouble(fields[3]),
+                    fields[4], fields[5]));
         }
         return read;
     }
--- a/bench/src/main/java/wrenreach/bench/capacity/NodeProcess.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/NodeProcess.java
@@ -19,10 +19,11 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** A delivery node as a process of its own, from a built checkout, with the options that ship; seen from outside. */
+/** A delivery node in a process of its own, started from a built checkout with the shipped options and observed from outside. */
 final class NodeProcess implements AutoCloseable {
-    private static final Pattern USED = Pattern.compile("used (\\d+)K");
-    private static final double TICKS = 100;
+    private static final Pattern HEAP_USED = Pattern.compile("used (\\d+)K");
+    /** Clock ticks per second in /proc/PID/stat. */
+    private static final double TICKS_PER_SECOND = 100;
 
     private final Path checkout;
     private final Process process;
@@ -54,7 +55,7 @@
         return process.waitFor();
     }
 
-    /** Seconds from the start to the first PONG; NaN: it ended, or was not there in time. */
+    /** Seconds from the start to the first PONG; NaN: the process ended, or did not respond in time. */
     double serves(int patienceSeconds) throws InterruptedException {
         long until = startedAt + TimeUnit.SECONDS.toNanos(patienceSeconds);
         while (process.isAlive() && System.nanoTime() < until) {
@@ -90,7 +91,7 @@
         return line.toString();
     }
 
-    /** Whether a mail for the destination is not answered by an error, that is: whether the list in force has it. */
+    /** Whether a mail for the destination is not refused with an error, that is, whether the list in force contains the destination. */
     boolean knows(int destination, String id) throws IOException {
         String fields = "c=order,t=shop,d=2000,dest=" + destination;
         try (Socket socket = open()) {
@@ -99,14 +100,14 @@
         }
     }
 
-    /** Seconds of processor time so far, in ticks of 10 ms. */
+    /** Processor time so far in seconds, with a resolution of 10 ms. */
     double processorSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(words[11]) + Long.parseLong(words[12])) / TICKS;
+        return (Long.parseLong(words[11]) + Long.parseLong(words[12])) / TICKS_PER_SECOND;
     }
 
-    /** Nanoseconds of processor time so far by thread, by the scheduler's own clock: ticks hide what an idle node uses. */
+    /** Processor time so far of each thread, in nanoseconds of the scheduler's clock; ticks are too coarse for an idle node. */
     Map<String, Long> threadNanos() throws IOException {
         Map<String, Long> nanos = new TreeMap<>();
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
@@ -114,14 +115,14 @@
                 try {
                     nanos.put(thread.getFileName().toString(), Long.parseLong(Files.readString(thread.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
-                    continue; // A thread that has ended since.
+                    continue; // The thread has ended in the meantime.
                 }
             }
         }
         return nanos;
     }
 
-    /** Seconds of processor time since then of the threads that there are now. */
+    /** Processor time in seconds since an earlier {@link #threadNanos}, of the threads that exist now. */
     double secondsSince(Map<String, Long> before) throws IOException {
         long nanos = 0;
         for (Map.Entry<String, Long> thread : threadNanos().entrySet()) {
@@ -139,12 +140,12 @@
         return Double.NaN;
     }
 
-    /** Bytes of the heap that live, after a collection. */
+    /** Bytes of the heap that are live after a garbage collection. */
     double liveBytes() throws IOException, InterruptedException {
         jcmd("GC.run");
-        Matcher used = USED.matcher(jcmd("GC.heap_info"));
+        Matcher used = HEAP_USED.matcher(jcmd("GC.heap_info"));
         double bytes = 0;
-        // The first figures are of the two generations; the last is the metaspace's.
+        // The first 2 figures belong to the two generations; the last one is the metaspace's.
         for (int i = 0; i < 2 && used.find(); i++) {
             bytes += 1024.0 * Long.parseLong(used.group(1));
         }
@@ -154,12 +155,12 @@
     private String jcmd(String what) throws IOException, InterruptedException {
         Process jcmd = new ProcessBuilder("jcmd", Long.toString(process.pid()), what).directory(checkout.toFile())
                 .redirectErrorStream(true).start();
-        String said = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         jcmd.waitFor();
-        return said;
+        return output;
     }
 
-    /** Ends the process by its own id, at once. */
+    /** Kills the process at once. */
     @Override public void close() {
         process.destroyForcibly();
         try {
--- a/bench/src/main/java/wrenreach/bench/capacity/Receivers.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/Receivers.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Stands in for all receivers that are up: one port of loopback that answers every call with 200. */
+/** A stub for all receivers that are up: one loopback port that responds to every call with status 200. */
 final class Receivers implements AutoCloseable {
     private static final byte[] RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -27,11 +27,11 @@
         threads.execute(() -> {
             try {
                 while (true) {
-                    Socket one = socket.accept();
-                    threads.execute(() -> serve(one));
+                    Socket connection = socket.accept();
+                    threads.execute(() -> serve(connection));
                 }
             } catch (IOException e) {
-                return; // It has been closed.
+                return; // The stub has been closed.
             }
         });
     }
@@ -40,22 +40,22 @@
         return "127.0.0.1:" + socket.getLocalPort();
     }
 
-    /** Calls answered so far. */
+    /** Calls that were responded to so far. */
     long answeredCalls() {
         return answeredCalls.get();
     }
 
-    private void serve(Socket one) {
-        try (one) {
-            one.setTcpNoDelay(true);
-            InputStream in = new BufferedInputStream(one.getInputStream());
+    private void serve(Socket connection) {
+        try (connection) {
+            connection.setTcpNoDelay(true);
+            InputStream in = new BufferedInputStream(connection.getInputStream());
             for (String head = DiscoveryStub.readHead(in); !head.isEmpty(); head = DiscoveryStub.readHead(in)) {
                 in.skipNBytes(DiscoveryStub.contentLength(head));
-                one.getOutputStream().write(RESPONSE);
+                connection.getOutputStream().write(RESPONSE);
                 answeredCalls.incrementAndGet();
             }
         } catch (IOException e) {
-            return; // The node has closed it.
+            return; // The node has closed the connection.
         }
     }
 
--- a/bench/src/main/java/wrenreach/bench/capacity/SampleConfig.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/SampleConfig.java
@@ -7,11 +7,11 @@
 import java.util.Locale;
 import java.util.function.IntFunction;
 
-/** The sample config with another list, and lists of destinations in discovery's words. */
+/** Writes the sample configuration with another list of endpoints, and lists of destinations in discovery's format. */
 final class SampleConfig {
     private SampleConfig() { }
 
-    /** Nobody listens there: loopback, whatever is called. */
+    /** An endpoint at a loopback address where nothing listens, so that no attempt can leave the machine. */
     static String unreachable(int number) {
         return endpoint("endpoint-" + number, "127." + (1 + (number >> 16)) + "." + (number >> 8 & 255) + "." + (number & 255) + ":9", number);
     }
@@ -21,7 +21,7 @@
                 + "\"status\":\"SERVING\",\"weight\":10,\"since_ms\":0}", name, address, group);
     }
 
-    /** Destinations from one number to below another, each in the words that it is given. */
+    /** Appends a list of the destinations from a number (inclusive) until another (exclusive); the function gives the JSON of each one's endpoints. */
     static void list(Appendable to, long index, int from, int until, boolean whole, IntFunction<String> words) throws IOException {
         to.append("{\"index\":").append(Long.toString(index)).append(",\"snapshot\":").append(Boolean.toString(whole))
                 .append(",\"endpoints\":[");
@@ -37,7 +37,7 @@
         return text.append('\n').toString().getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** A config that knows so many destinations, with the size's memory and disk, and discovery on a port of loopback. */
+    /** Writes a configuration with this many known destinations, memory and disk of the size file, and discovery on a loopback port. */
     static Path write(Path file, SizeFile size, int known, IntFunction<String> words, int discovery) throws IOException {
         String sample = Files.readString(Path.of("deploy/sample.json"));
         int a = sample.indexOf("\"known\":"), b = sample.indexOf("\"settings\":");
--- a/bench/src/main/java/wrenreach/bench/capacity/SizeFile.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/SizeFile.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.Properties;
 
-/** The text file of a size: plain "key = value" lines. A missing or malformed value is an error that names file and key. */
+/** The text file of a size, in "key = value" lines. A missing or malformed value is an error that names the file and the key. */
 final class SizeFile {
     private final Path file;
     private final Properties values = new Properties();
--- a/bench/src/main/java/wrenreach/bench/capacity/TrafficSlopes.java
+++ b/bench/src/main/java/wrenreach/bench/capacity/TrafficSlopes.java
@@ -17,13 +17,17 @@
 import java.util.stream.Stream;
 
 /**
- * What mails cost a delivery node of a large fleet, by the destinations that it knows: each mail for another one, as at the
- * size that is coming, one endpoint or two each, all up or some down. Real process, receivers and client on loopback.
+ * Measures what mails cost a delivery node of a large fleet, by the number of destinations that it knows. Each mail goes to a random
+ * destination, as at the expected size. Destinations have one or two endpoints each, and all are up or some are down. The node is a
+ * real process; receivers and client are on loopback.
  */
 final class TrafficSlopes {
-    private static final int PATIENCE_S = 30, WARM_MS = 2000;
-    /** Lets each mail in: a tenant's quota, mails held at a time. */
-    private static final int ROOM = 10_000;
+    /** How long the node may take to serve, in seconds. */
+    private static final int START_TIMEOUT_S = 30;
+    /** Load before the measurement begins, in milliseconds. */
+    private static final int WARM_UP_MS = 2000;
+    /** Tenant quota and limit of held mails, high enough that every mail is accepted. */
+    private static final int AMPLE_LIMIT = 10_000;
 
     private enum Layout { ONE, TWO, DOWN }
 
@@ -59,30 +63,30 @@
             Path config = SampleConfig.write(folder.resolve("traffic.json"), size, destinations, words(layout, receivers.address()),
                     agent.port());
             Files.writeString(config, Files.readString(config).replace("\"GroupSize\": 1", "\"GroupSize\": " + size.count("nodes"))
-                    .replace("\"QuotaPerS\": 10", "\"QuotaPerS\": " + ROOM).replace("\"MaxOpen\": 100", "\"MaxOpen\": " + ROOM));
+                    .replace("\"QuotaPerS\": 10", "\"QuotaPerS\": " + AMPLE_LIMIT).replace("\"MaxOpen\": 100", "\"MaxOpen\": " + AMPLE_LIMIT));
             StringBuilder whole = new StringBuilder();
             SampleConfig.list(whole, 1, 1, destinations + 1, true, words(layout, receivers.address()));
             agent.wholeList(whole.append('\n').toString().getBytes(StandardCharsets.US_ASCII));
             try (NodeProcess node = new NodeProcess(checkout, config, state, folder.resolve("log"))) {
-                if (Double.isNaN(node.serves(PATIENCE_S))) {
-                    // For each figure that is not had: none of them is to be worked out from smaller sizes.
+                if (Double.isNaN(node.serves(START_TIMEOUT_S))) {
+                    // One line for each missing figure, so that none of them is extrapolated from smaller sizes.
                     String why = node.alive() ? "serves nobody" : "exit " + node.exitCode();
                     for (int rate : size.counts("traffic_rates")) {
-                        say(slope + "." + rate, destinations, Double.NaN, "cores", why);
+                        report(slope + "." + rate, destinations, Double.NaN, "cores", why);
                     }
-                    say(slope + ".live", destinations, Double.NaN, "bytes", why);
+                    report(slope + ".live", destinations, Double.NaN, "bytes", why);
                     return;
                 }
                 Random random = new Random((long) size.number("seed"));
                 for (int rate : size.counts("traffic_rates")) {
-                    at(node, receivers, rate, destinations, random, slope + "." + rate);
+                    measureRate(node, receivers, rate, destinations, random, slope + "." + rate);
                 }
-                say(slope + ".live", destinations, node.liveBytes(), "bytes", "");
+                report(slope + ".live", destinations, node.liveBytes(), "bytes", "");
             }
         }
     }
 
-    /** The first ones are down, as many as the size says, if any are. */
+    /** The JSON of each destination's endpoints. With the layout DOWN, every n-th destination is down, n = 1 / down_part of the size file. */
     private IntFunction<String> words(Layout layout, String up) {
         double down = layout == Layout.DOWN ? size.number("down_part") : 0;
         int every = down == 0 ? Integer.MAX_VALUE : (int) Math.round(1 / down);
@@ -93,28 +97,28 @@
         };
     }
 
-    private void at(NodeProcess node, Receivers receivers, int rate, int destinations, Random random, String slope)
+    private void measureRate(NodeProcess node, Receivers receivers, int rate, int destinations, Random random, String slope)
             throws IOException, InterruptedException {
         int seconds = size.count("traffic_seconds");
         try (Load load = new Load(node, rate, destinations, random, slope)) {
-            load.send(WARM_MS);
+            load.send(WARM_UP_MS);
             long relayed = receivers.answeredCalls();
             long asked = load.asked;
             Map<String, Long> before = node.threadNanos();
             long from = System.nanoTime();
             load.send(1000 * seconds);
             double took = (System.nanoTime() - from) / 1e9;
-            say(slope, destinations, node.secondsSince(before) / took, "cores", String.format(Locale.ROOT,
+            report(slope, destinations, node.secondsSince(before) / took, "cores", String.format(Locale.ROOT,
                     "%d handed in; %d relayed; of all %d taken; %d refused", load.asked - asked, receivers.answeredCalls() - relayed,
                     load.answers.get('+'), load.answers.get('-')));
         }
     }
 
-    private void say(String slope, long at, double value, String unit, String note) {
+    private void report(String slope, long at, double value, String unit, String note) {
         taker.accept(new Measurement(build, slope, at, value, unit, note));
     }
 
-    /** One client that hands in mails for destinations by chance, at a rate, and reads what it is answered. */
+    /** One client that submits mails for random destinations at a constant rate, and counts the replies. */
     private static final class Load implements AutoCloseable {
         private final Socket socket;
         private final int rate;
@@ -122,7 +126,7 @@
         private final Random random;
         private final String name;
         private final Thread reader;
-        /** How many answers began with '+' and with '-'. */
+        /** How many replies began with each character; '+' means accepted, '-' refused. */
         private final AtomicLongArray answers = new AtomicLongArray(128);
         private long asked;
 
@@ -165,7 +169,7 @@
                     }
                 }
             } catch (IOException e) {
-                return; // It has been closed.
+                return; // The connection has been closed.
             }
         }
 
--- a/bench/src/test/java/wrenreach/bench/capacity/CapacityTest.java
+++ b/bench/src/test/java/wrenreach/bench/capacity/CapacityTest.java
@@ -14,17 +14,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rig itself, at a small size, and that the page says what was measured. */
+/** Tests the capacity measurements at a small size, and that the capacity page agrees with the committed measurements. */
 class CapacityTest {
-    private static final Path SIZE = Path.of("bench/capacity/size.properties"), CSV = Path.of("bench/capacity/slopes.csv"),
-            PAGE = Path.of("docs/CAPACITY.md");
+    private static final Path SIZE = Path.of("bench/capacity/size.properties");
+    private static final Path CSV = Path.of("bench/capacity/slopes.csv");
+    private static final Path PAGE = Path.of("docs/CAPACITY.md");
 
-    /** Every figure of the page is worked out from the committed measurements: whoever changes one alone is told. */
+    /** Every figure on the page is computed from the committed measurements; fails where only one of the two is changed. */
     @Test void pageMatchesTheMeasurements() throws IOException {
         assertThat(CapacityPage.onPage(PAGE)).isEqualTo(CapacityPage.figures(new SizeFile(SIZE), Measurement.read(CSV)));
     }
 
-    /** Whichever figure of a slope with points enough for a line is changed: it shows. */
+    /** A change of any figure of a slope that has enough points for a line changes the page. */
     @Test void eachChangedMeasurementChangesThePage() throws IOException {
         List<Measurement> all = Measurement.read(CSV);
         int changed = 0;
@@ -58,7 +59,7 @@
         assertThat(Fit.of(points.subList(0, 2))).isNull();
     }
 
-    /** Counts of the hollow fleet are the same each time, and a receiver that is down for a minute gets calls. */
+    /** Counts of the simulated fleet are the same each time, and a receiver that is down for a minute still gets calls. */
     @Test void simulatedFleetIsDeterministic() {
         List<Measurement> first = new ArrayList<>(), second = new ArrayList<>();
         FleetSlopes.measure(7, "b", 10, first::add);
@@ -69,8 +70,8 @@
     }
 
     /**
-     * Guards a receiver that was down for a minute, while all nodes hold mails for it, against trials that began in step and so come
-     * in a wave: it bears what all send together.
+     * A receiver was down for a minute while all nodes hold mails for it. If the nodes' trials were synchronized, their calls would
+     * come in a wave; all calls together must stay within what the receiver withstands.
      */
     @ParameterizedTest
     @CsvSource({"10", "30", "100", "300", "650"})
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Real processes at a small size: each slope has its figure. */
+    /** With real processes at a small size, each slope gets its figures. */
     @Test void allSlopesAreMeasuredAtASmallSize(@TempDir Path folder) throws Exception {
         Path small = folder.resolve("small.properties");
         Files.writeString(small, Files.readString(SIZE).replaceAll("(?m)^(list_sizes|held_sizes|traffic_sizes) = .*", "$1 = 50")
