--- a/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
@@ -20,11 +20,20 @@
 import wrenreach.store.FolderDisk;
 import wrenreach.store.Store;
 
-/** wrenreach store: looks at a store's folder, mends it, and measures one. */
+/** The command {@code wrenreach store}: inspects, repairs and benchmarks a store. */
 final class StoreCommand implements Command {
-    private static final int SOUND = 0, DAMAGED = 1, NO_STORE = 2;
-    private static final int BODY = 200, BATCH = 10;
-    private static final long ROOM = 1L << 40;
+    /** Exit code: the store is sound, or the command has succeeded. */
+    private static final int EXIT_SOUND = 0;
+    /** Exit code: the store is damaged, or reading or writing failed. */
+    private static final int EXIT_DAMAGED = 1;
+    /** Exit code: there is no usable store, or the command line is wrong. */
+    private static final int EXIT_NO_STORE = 2;
+    /** Size of each value that the benchmark writes. */
+    private static final int BENCH_VALUE_BYTES = 200;
+    /** Records in each batch of the benchmark. */
+    private static final int BENCH_BATCH_RECORDS = 10;
+    /** Size limit of the stores that repair and the benchmark write: 1 TiB, more than either needs. */
+    private static final long MAX_STORE_BYTES = 1L << 40;
 
     @Override public String name() {
         return "store";
@@ -56,34 +65,34 @@
                 case "check":
                 case "stats":
                 case "dump":
-                    return look(args.get(0), store(folder), out);
+                    return inspect(args.get(0), storeFolder(folder), out);
                 case "held":
-                    return held(store(folder), out);
+                    return held(storeFolder(folder), out);
                 case "repair":
                     if (!line.hasOption("copy")) {
                         throw new ParseException("store repair: --copy DIR is needed, for what can't be read");
                     }
-                    return repair(store(folder), Path.of(line.getOptionValue("copy")), out);
+                    return repair(storeFolder(folder), Path.of(line.getOptionValue("copy")), out);
                 default:
                     throw new ParseException("store " + args.get(0) + ": not known");
             }
         } catch (ParseException e) {
             err.println("wrenreach: " + e.getMessage());
             usage().forEach(use -> err.println("usage: wrenreach " + use));
-            return NO_STORE;
+            return EXIT_NO_STORE;
         } catch (NoStore | java.nio.file.NoSuchFileException | java.nio.file.NotDirectoryException e) {
             err.println("wrenreach: " + e.getMessage() + " is no store");
-            return NO_STORE;
+            return EXIT_NO_STORE;
         } catch (Store.Unusable e) {
             err.println("wrenreach: " + e.getMessage());
-            return NO_STORE;
+            return EXIT_NO_STORE;
         } catch (IOException e) {
             err.println("wrenreach: " + e.getMessage());
-            return DAMAGED;
+            return EXIT_DAMAGED;
         }
     }
 
-    /** A folder that is not one. */
+    /** The folder holds no store. */
     private static final class NoStore extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -99,8 +108,8 @@
         return Integer.parseInt(text);
     }
 
-    /** The store's own folder: a state folder holds it under its name. */
-    private static Path store(Path folder) throws IOException {
+    /** The folder of the store itself: the argument may also be the state folder that contains it. */
+    private static Path storeFolder(Path folder) throws IOException {
         Path under = folder.resolve(Journal.STORE);
         Path found = Files.isDirectory(under) ? under : folder;
         if (!Store.isStore(new FolderDisk(found))) {
@@ -109,39 +118,39 @@
         return found;
     }
 
-    private static int look(String what, Path folder, PrintStream out) throws IOException {
+    private static int inspect(String what, Path folder, PrintStream out) throws IOException {
         try (Store store = Store.openReadOnly(new FolderDisk(folder))) {
             Store.Stats stats = store.stats();
             if (what.equals("dump")) {
                 store.forEach((key, value) -> out.println(printable(key) + " " + HexFormat.of().formatHex(value)));
             } else {
                 out.printf(Locale.ROOT, "%d keys, %d bytes live, %d bytes in %d files, %d batches, the last is number %d%n", stats.keys(),
-                        stats.live(), stats.used(), stats.segments(), store.recovered().batches(), stats.sequence());
+                        stats.liveBytes(), stats.usedBytes(), stats.segments(), store.recovered().batches(), stats.sequence());
             }
             if (what.equals("check")) {
-                // Each value is read, not only the batches.
+                // Reads each value, to check the checksums of the records too.
                 store.forEach((key, value) -> { });
             }
             if (store.recovered().truncatedBytes() > 0) {
                 out.println("a last write of " + store.recovered().truncatedBytes() + " bytes was never finished; the next start cuts it off");
             }
             store.recovered().damagedRanges().forEach(hole -> out.println("damaged: " + hole.describe()));
-            return store.recovered().damagedRanges().isEmpty() ? SOUND : DAMAGED;
+            return store.recovered().damagedRanges().isEmpty() ? EXIT_SOUND : EXIT_DAMAGED;
         }
     }
 
     private static int held(Path folder, PrintStream out) throws IOException {
-        List<HeldMail> owed = StoreLedger.read(folder);
-        owed.forEach(mail -> out.println(mail.describe()));
-        out.println(owed.size() + " mails owed");
-        return SOUND;
+        List<HeldMail> mails = StoreLedger.read(folder);
+        mails.forEach(mail -> out.println(mail.describe()));
+        out.println(mails.size() + " mails owed");
+        return EXIT_SOUND;
     }
 
     private static String printable(String key) {
         return key.replace("\\", "\\\\").replace("\0", "\\0").replace("\n", "\\n").replace(" ", "\\s");
     }
 
-    /** Copies the files as they are, writes what can be read into a new store, and puts that in their place. */
+    /** Copies the files unchanged, writes what can be read into a new store, and replaces the old store by that. */
     private static int repair(Path folder, Path copy, PrintStream out) throws IOException {
         Files.createDirectories(copy);
         try (Stream<Path> there = Files.list(copy)) {
@@ -154,7 +163,7 @@
         if (Files.exists(fresh) || Files.exists(old)) {
             throw new IOException(fresh + " or " + old + " is left from an earlier repair");
         }
-        // Taken first: a node that has the store keeps it.
+        // The lock is taken first, so that a store that a running node has open is left alone.
         try (FolderDisk held = new FolderDisk(folder)) {
             held.lock();
             try (Stream<Path> files = Files.list(folder)) {
@@ -166,7 +175,7 @@
             int kept = 0;
             int holes;
             try (Store from = Store.openReadOnly(new FolderDisk(folder));
-                    Store to = Store.open(new FolderDisk(fresh), ROOM, true, new java.security.SecureRandom().nextInt())) {
+                    Store to = Store.open(new FolderDisk(fresh), MAX_STORE_BYTES, true, new java.security.SecureRandom().nextInt())) {
                 int[] count = {0};
                 from.forEach((key, value) -> {
                     try {
@@ -190,7 +199,7 @@
             }
         }
         Files.delete(old);
-        return SOUND;
+        return EXIT_SOUND;
     }
 
     private static int bench(Path folder, int records, PrintStream out) throws IOException {
@@ -201,25 +210,25 @@
             }
         }
         long begin = System.nanoTime();
-        try (Store store = Store.open(new FolderDisk(folder), ROOM, false, new java.security.SecureRandom().nextInt())) {
-            byte[] body = new byte[BODY];
+        try (Store store = Store.open(new FolderDisk(folder), MAX_STORE_BYTES, false, new java.security.SecureRandom().nextInt())) {
+            byte[] body = new byte[BENCH_VALUE_BYTES];
             for (int i = 0; i < records;) {
                 Batch batch = new Batch();
-                for (int j = 0; j < BATCH && i < records; j++, i++) {
+                for (int j = 0; j < BENCH_BATCH_RECORDS && i < records; j++, i++) {
                     batch.put("t" + i, body);
                 }
                 store.write(batch);
             }
         }
         long filled = System.nanoTime();
-        try (Store store = Store.open(new FolderDisk(folder), ROOM, false, 0)) {
+        try (Store store = Store.open(new FolderDisk(folder), MAX_STORE_BYTES, false, 0)) {
             long opened = System.nanoTime();
             Runtime java = Runtime.getRuntime();
             System.gc();
             out.printf(Locale.ROOT, "%d records of %d bytes in batches of %d: %.0f a second; opened again in %.0f ms; %.1f MB of heap%n",
-                    records, BODY, BATCH, records / ((filled - begin) / 1e9), (opened - filled) / 1e6,
+                    records, BENCH_VALUE_BYTES, BENCH_BATCH_RECORDS, records / ((filled - begin) / 1e9), (opened - filled) / 1e6,
                     (java.totalMemory() - java.freeMemory()) / 1e6);
-            return store.stats().keys() == records ? SOUND : DAMAGED;
+            return store.stats().keys() == records ? EXIT_SOUND : EXIT_DAMAGED;
         }
     }
 }
--- a/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
@@ -37,80 +37,112 @@
 import wrenreach.store.Store;
 
 /**
- * What is owed, in a store: a key for each mail (t), for each of its connects (c) and what became of it (n), for its ending
- * (e), for the id of one that has ended (r), for each hole that has been dealt with (h), and for the clock that all times are by
- * (b). An iteration's records are one batch. Where the disk takes no more, ballast is let go:
- * what is owed goes on in its room, and new mails are refused until it is back.
+ * A ledger of outstanding mails that is kept in a {@link Store}. There is a key for each mail (t), for each of its attempts (c), for
+ * an attempt that never ran (n), for the ending (e), for the id of a mail that has ended (r), for each damaged range that has been
+ * handled (h), and for the clock that all times refer to (b). The records of one iteration of the event loop are written as one batch.
+ * When the disk is full, reserved space is released: outstanding mails are completed in it, and new mails are refused until the space
+ * has been reserved again.
  */
 public final class StoreLedger implements Ledger {
     private static final System.Logger LOG = System.getLogger(StoreLedger.class.getName());
     private static final String JOURNAL = "journal";
-    private static final char TAKEN = 't', CONNECT = 'c', NEVER_RAN = 'n', ENDING = 'e', REMEMBERED = 'r', HOLE = 'h', CLOCK = 'b';
-    /** The part of the room that is kept for what is owed already, for when the disk is full. */
-    private static final double BALLAST_PART = 0.125;
-    /** Bytes that a connect or an ending may take; a remembered id beside its length. */
-    private static final int RECORD = 160, ID = 64;
-    /** Ids forgotten in one turn; times that a write waits for what has to be forced before. */
-    private static final int FORGOTTEN_A_TURN = 64, FORCED_FOR_ROOM = 64;
+    /** First character of the key of an accepted mail; its id follows. */
+    private static final char ACCEPTED = 't';
+    /** First character of the key of an attempt; id, a zero character and the attempt's number follow. */
+    private static final char ATTEMPT = 'c';
+    /** First character of the key of an attempt that is known to have never run; the rest as for {@link #ATTEMPT}. */
+    private static final char NEVER_RAN = 'n';
+    /** First character of the key of an ending; the mail's id follows. */
+    private static final char ENDING = 'e';
+    /** First character of the key of a mail that has ended; its id follows. */
+    private static final char REMEMBERED = 'r';
+    /** First character of the key of a damaged range that has been handled; file and offset follow. */
+    private static final char DAMAGED_RANGE = 'h';
+    /** The key of the time base. */
+    private static final char CLOCK = 'b';
+    /** Part of the size limit that is reserved for outstanding mails, for when the disk is full. */
+    private static final double RESERVED_SHARE = 0.125;
+    /** Bytes that the record of an attempt or of an ending may take. */
+    private static final int MAX_RECORD_BYTES = 160;
+    /** Bytes that a remembered id takes beside its length. */
+    private static final int REMEMBERED_ID_OVERHEAD_BYTES = 64;
+    /** Remembered ids that are removed in one iteration of the event loop. */
+    private static final int MAX_EXPIRED_IDS_PER_ITERATION = 64;
+    /** How often one write forces the store in order to let cleaning make room for it. */
+    private static final int MAX_FORCES_PER_WRITE = 64;
 
     private final Store store;
-    private final ReservedSpace ballast;
+    private final ReservedSpace reservedSpace;
+    /** Whether writes are forced, so that they survive a loss of power. */
     private final boolean sync;
-    private final long remember;
+    /** How long ids of ended mails are remembered, in microseconds. */
+    private final long rememberMicros;
+    /** Bytes that remembered ids may take. */
     private final long rememberBytes;
-    /** Microseconds of a clock that only goes forward. */
+    /** A monotonic clock, in microseconds. */
     private LongSupplier micros;
-    /** By which the records' times are; null: the wall's. */
-    private TimeBase base;
-    private final Map<String, HeldMail> owed = new LinkedHashMap<>();
-    /** When each id that is remembered ended, in microseconds; the oldest first. */
+    /** The time base of the times in the records; null: wall-clock time. */
+    private TimeBase timeBase;
+    private final Map<String, HeldMail> outstandingMails = new LinkedHashMap<>();
+    /** When the mail of each remembered id ended, in microseconds; the oldest first. */
     private final Map<String, Long> remembered = new LinkedHashMap<>();
     private long rememberedBytes;
+    /** Whether the store held batches of an earlier process when it was opened. */
     private final boolean resumed;
-    private long order;
+    /** Number of the last accepted mail, which keeps mails in the order of acceptance. */
+    private long lastAcceptOrder;
+    /** The records of this iteration, not written yet. */
     private Batch pending = new Batch();
     private Executor loop = Runnable::run;
-    private Runnable failed = () -> { };
-    private ExecutorService forcing;
+    private Runnable onFailure = () -> { };
+    /** Runs {@link Store.Sync#force} on a thread of its own; null until it is needed. */
+    private ExecutorService forceExecutor;
     private boolean closed;
-    private ListLog lists;
+    private ListLog listLog;
 
     private StoreLedger(Store store, ReservedSpace ballast, boolean sync, long remember, long rememberBytes, LongSupplier micros) throws IOException {
         this.store = store;
-        this.ballast = ballast;
+        this.reservedSpace = ballast;
         this.sync = sync;
-        this.remember = remember;
+        this.rememberMicros = remember;
         this.rememberBytes = rememberBytes;
         this.micros = micros;
         resumed = store.stats().sequence() > 0;
         load();
     }
 
-    /** Opens the store in a state folder; limit: bytes that it may hold; remember: microseconds, and bytes, of ended ids. */
+    /**
+     * Opens the store in a state folder.
+     *
+     * @param limit bytes that it may take on disk
+     * @param sync whether writes have to survive a loss of power
+     * @param remember how long ids of ended mails are remembered, in microseconds
+     * @param rememberBytes bytes that these ids may take
+     */
     public static StoreLedger open(Path state, long limit, boolean sync, long remember, long rememberBytes) throws IOException {
         return open(state, limit, sync, remember, rememberBytes, () -> System.nanoTime() / 1000, new SecureRandom().nextInt());
     }
 
-    /** The same with a clock of microseconds, used until {@link #startClock}, and a salt handed in. */
+    /** The same with a given salt and a given clock of microseconds, which is used until {@link #startClock}. */
     public static StoreLedger open(Path state, long limit, boolean sync, long remember, long rememberBytes, LongSupplier micros,
             int salt) throws IOException {
         Path journal = state.resolve(JOURNAL);
         Path folder = state.resolve(Journal.STORE);
-        Path made = state.resolve(Journal.STORE + ".new");
+        Path fresh = state.resolve(Journal.STORE + ".new");
         if (Files.exists(journal) && !Files.exists(folder)) {
-            carryOver(state, made, limit, salt);
-            Files.move(made, folder);
+            migrateJournal(state, fresh, limit, salt);
+            Files.move(fresh, folder);
         }
-        // What was carried over is in the store: the old file would only take room.
+        // The journal's mails are in the store by now: the old file would only take up space.
         Files.deleteIfExists(journal);
         Files.deleteIfExists(state.resolve(JOURNAL + ".next"));
         Files.createDirectories(folder);
-        long kept = (long) (limit * BALLAST_PART);
+        long kept = (long) (limit * RESERVED_SHARE);
         Store store = Store.open(new FolderDisk(folder), limit - kept - ListLog.sizeLimit(limit), sync, salt);
         try {
             StoreLedger ledger = new StoreLedger(store, new ReservedSpace(folder.resolve("ballast"), kept), sync, remember, rememberBytes,
                     micros);
-            ledger.lists = new ListLog(state, limit);
+            ledger.listLog = new ListLog(state, limit);
             return ledger;
         } catch (IOException | RuntimeException e) {
             store.close();
@@ -118,7 +150,7 @@
         }
     }
 
-    /** What a state folder's store owes, in the order taken on; nothing is changed. */
+    /** The outstanding mails of the store in this folder, in the order of acceptance; nothing is changed. */
     static List<HeldMail> read(Path folder) throws IOException {
         try (StoreLedger ledger = new StoreLedger(Store.openReadOnly(new FolderDisk(folder)), new ReservedSpace(folder, 0), false, 0, 0,
                 () -> System.nanoTime() / 1000)) {
@@ -126,23 +158,23 @@
         }
     }
 
-    /** Puts what the journal owes into a new store beside it; one that was begun before is begun again. */
-    private static void carryOver(Path state, Path made, long limit, int salt) throws IOException {
-        if (Files.exists(made)) {
-            try (var files = Files.list(made)) {
+    /** Copies the outstanding mails of the journal into a new store beside it; an earlier copy that was interrupted is started over. */
+    private static void migrateJournal(Path state, Path fresh, long limit, int salt) throws IOException {
+        if (Files.exists(fresh)) {
+            try (var files = Files.list(fresh)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
                 }
             }
         }
-        Files.createDirectories(made);
-        List<HeldMail> owed = Journal.read(state);
-        try (StoreLedger ledger = new StoreLedger(Store.open(new FolderDisk(made), limit, true, salt), new ReservedSpace(made.resolve("ballast"), 0), true, 0, 0,
+        Files.createDirectories(fresh);
+        List<HeldMail> mails = Journal.read(state);
+        try (StoreLedger ledger = new StoreLedger(Store.open(new FolderDisk(fresh), limit, true, salt), new ReservedSpace(fresh.resolve("ballast"), 0), true, 0, 0,
                 () -> System.nanoTime() / 1000)) {
-            for (HeldMail mail : owed) {
+            for (HeldMail mail : mails) {
                 HeldMail copy = new HeldMail(mail.submission, mail.deadline);
                 ledger.accepted(copy);
-                mail.attempts.forEach(connect -> ledger.attemptStarted(copy, connect));
+                mail.attempts.forEach(attempt -> ledger.attemptStarted(copy, attempt));
                 if (mail.ending != null) {
                     ledger.ended(copy, mail.ending);
                 }
@@ -153,8 +185,8 @@
                 ledger.store.forced(all);
             }
         }
-        if (!owed.isEmpty()) {
-            LogEvent.log(LOG, Level.INFO, "store.carried", "{mails} mails carried over from the journal", "mails", owed.size());
+        if (!mails.isEmpty()) {
+            LogEvent.log(LOG, Level.INFO, "store.carried", "{mails} mails carried over from the journal", "mails", mails.size());
         }
     }
 
@@ -165,25 +197,25 @@
         Map<Long, HeldMail> byOrder = new TreeMap<>();
         Map<String, HeldMail> byId = new LinkedHashMap<>();
         List<String> others = new ArrayList<>();
-        Set<String> dealtWith = new TreeSet<>();
+        Set<String> handledRanges = new TreeSet<>();
         Map<Long, String> ended = new TreeMap<>();
         store.forEach((key, value) -> {
             try {
-                if (key.charAt(0) == TAKEN) {
-                    Entry.Accepted taken = (Entry.Accepted) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
-                    HeldMail held = new HeldMail(taken.submission(), taken.deadline());
+                if (key.charAt(0) == ACCEPTED) {
+                    Entry.Accepted accepted = (Entry.Accepted) Entry.decode(java.util.Arrays.copyOfRange(value, 8, value.length));
+                    HeldMail held = new HeldMail(accepted.submission(), accepted.deadline());
                     held.accepted = true;
                     byOrder.put(ByteBuffer.wrap(value).getLong(), held);
-                    byId.put(taken.id(), held);
+                    byId.put(accepted.id(), held);
                 } else if (key.charAt(0) == REMEMBERED) {
                     long at = ByteBuffer.wrap(value).getLong();
                     while (ended.putIfAbsent(at, key.substring(1)) != null) {
                         at++;
                     }
                 } else if (key.charAt(0) == CLOCK) {
-                    base = ((Entry.Clock) Entry.decode(value)).base();
-                } else if (key.charAt(0) == HOLE) {
-                    dealtWith.add(key);
+                    timeBase = ((Entry.Clock) Entry.decode(value)).base();
+                } else if (key.charAt(0) == DAMAGED_RANGE) {
+                    handledRanges.add(key);
                 } else {
                     others.add(key);
                 }
@@ -191,29 +223,29 @@
                 throw new UncheckedIOException(e);
             }
         });
-        // In the order of the keys: connects before what is known of them.
-        List<String> left = new ArrayList<>();
+        // They come in the order of the keys, so that attempts (c) come before the records that refer to them (n).
+        List<String> orphans = new ArrayList<>();
         for (String key : others) {
-            apply(Entry.decode(store.get(key)), byId, key, left);
+            apply(Entry.decode(store.get(key)), byId, key, orphans);
         }
-        // Each hole once: it says nothing of mails taken on after it was found.
-        Set<String> holes = new TreeSet<>();
-        found.damagedRanges().stream().filter(hole -> hole.lost() > 0).forEach(hole -> holes.add(HOLE + hole.file() + "@" + hole.at()));
-        boolean damaged = !dealtWith.containsAll(holes);
-        holes.stream().filter(hole -> !dealtWith.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
-        dealtWith.stream().filter(hole -> !holes.contains(hole)).forEach(pending::delete);
+        // Each damaged range counts only once: it says nothing of mails that were accepted after it was found.
+        Set<String> lostRanges = new TreeSet<>();
+        found.damagedRanges().stream().filter(hole -> hole.lostBatches() > 0).forEach(hole -> lostRanges.add(DAMAGED_RANGE + hole.file() + "@" + hole.offset()));
+        boolean damaged = !handledRanges.containsAll(lostRanges);
+        lostRanges.stream().filter(hole -> !handledRanges.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
+        handledRanges.stream().filter(hole -> !lostRanges.contains(hole)).forEach(pending::delete);
         byOrder.forEach((at, held) -> {
-            order = at;
+            lastAcceptOrder = at;
             held.attempts.sort((a, b) -> Integer.compare(a.number(), b.number()));
             if (damaged && held.ending == null) {
-                // Guards against a second effect: what is missing may have said that it went out, or that it was over.
+                // Prevents a second effect at the receiver: the missing records may have said that the mail was sent, or that it was completed.
                 attemptStarted(held, new RecordedAttempt(held.attempts.size(), "", 0, 0, false));
             }
-            owed.put(held.submission.id(), held);
+            outstandingMails.put(held.submission.id(), held);
         });
         ended.forEach((at, id) -> remembered(id, at));
-        // Records whose mail is gone are of no use: only damage leaves them.
-        left.forEach(pending::delete);
+        // Records whose mail is missing are of no use; only damage leaves them behind.
+        orphans.forEach(pending::delete);
         if (found.truncatedBytes() > 0) {
             LogEvent.log(LOG, Level.WARNING, "store.torn", "store: cut off a torn tail of {bytes} bytes", "bytes", found.truncatedBytes());
         }
@@ -221,12 +253,12 @@
                 "store: {hole}; owed mails are taken to have gone out", "hole", hole.describe()));
     }
 
-    private static void apply(Entry entry, Map<String, HeldMail> byId, String key, List<String> left) {
+    private static void apply(Entry entry, Map<String, HeldMail> byId, String key, List<String> orphans) {
         HeldMail held = byId.get(entry.id());
         if (held == null) {
-            left.add(key);
-        } else if (entry instanceof Entry.AttemptStarted connecting) {
-            held.attempts.add(connecting.attempt());
+            orphans.add(key);
+        } else if (entry instanceof Entry.AttemptStarted started) {
+            held.attempts.add(started.attempt());
         } else if (entry instanceof Entry.NeverRan neverRan) {
             held.markNeverRan(neverRan.number());
         } else if (entry instanceof Entry.Ended ended) {
@@ -234,21 +266,21 @@
         }
     }
 
-    // ---- Notes of a turn ----
+    // ---- Records of an iteration ----
 
     @Override public void attach(Executor onLoop, Runnable whenFailed) {
         loop = onLoop;
-        failed = whenFailed;
+        onFailure = whenFailed;
     }
 
     @Override public Optional<TimeBase> timeBase() {
-        return Optional.ofNullable(base);
+        return Optional.ofNullable(timeBase);
     }
 
     @Override public void startClock(TimeBase started, LongSupplier itsMicros) {
         micros = itsMicros;
-        if (!started.equals(base)) {
-            base = started;
+        if (!started.equals(timeBase)) {
+            timeBase = started;
             pending.put(String.valueOf(CLOCK), new Entry.Clock(started).encode());
         }
     }
@@ -258,14 +290,15 @@
     }
 
     @Override public List<HeldMail> outstanding() {
-        return new ArrayList<>(owed.values());
+        return new ArrayList<>(outstandingMails.values());
     }
 
     @Override public boolean fits(int bodyBytes, int before, int tries) {
-        long each = (2L + 2 * tries) * RECORD;
-        // Looked at here too: a node that refuses everything writes nothing.
-        restore();
-        return ballast.reserved() && store.fits(owed.size() * each + Math.max(0, rememberBytes - rememberedBytes), (1L + before) * (bodyBytes + RECORD + each));
+        long each = (2L + 2 * tries) * MAX_RECORD_BYTES;
+        // Tried here too: a node that refuses every new mail writes nothing, and would never get its reserved space back otherwise.
+        restoreReservedSpace();
+        return reservedSpace.reserved() && store.fits(outstandingMails.size() * each + Math.max(0, rememberBytes - rememberedBytes),
+                (1L + before) * (bodyBytes + MAX_RECORD_BYTES + each));
     }
 
     @Override public boolean hasEnded(String id) {
@@ -274,28 +307,28 @@
 
     @Override public void accepted(HeldMail held) {
         held.accepted = true;
-        owed.put(held.submission.id(), held);
+        outstandingMails.put(held.submission.id(), held);
         byte[] entry = new Entry.Accepted(held.submission, held.deadline).encode();
-        pending.put(TAKEN + held.submission.id(), ByteBuffer.allocate(8 + entry.length).putLong(++order).put(entry).array());
+        pending.put(ACCEPTED + held.submission.id(), ByteBuffer.allocate(8 + entry.length).putLong(++lastAcceptOrder).put(entry).array());
     }
 
-    private static String of(char kind, String id, int number) {
+    private static String attemptKey(char kind, String id, int number) {
         return kind + id + '\0' + number;
     }
 
-    @Override public void attemptStarted(HeldMail held, RecordedAttempt connect) {
-        held.attempts.add(connect);
+    @Override public void attemptStarted(HeldMail held, RecordedAttempt attempt) {
+        held.attempts.add(attempt);
         String id = held.submission.id();
-        pending.put(of(CONNECT, id, connect.number()), new Entry.AttemptStarted(id, connect).encode());
-        if (connect.neverRan()) {
-            pending.put(of(NEVER_RAN, id, connect.number()), new Entry.NeverRan(id, connect.number()).encode());
+        pending.put(attemptKey(ATTEMPT, id, attempt.number()), new Entry.AttemptStarted(id, attempt).encode());
+        if (attempt.neverRan()) {
+            pending.put(attemptKey(NEVER_RAN, id, attempt.number()), new Entry.NeverRan(id, attempt.number()).encode());
         }
     }
 
     @Override public void neverRan(HeldMail held, int number) {
         if (held.markNeverRan(number)) {
             String id = held.submission.id();
-            pending.put(of(NEVER_RAN, id, number), new Entry.NeverRan(id, number).encode());
+            pending.put(attemptKey(NEVER_RAN, id, number), new Entry.NeverRan(id, number).encode());
         }
     }
 
@@ -306,21 +339,21 @@
 
     @Override public void completed(HeldMail held) {
         String id = held.submission.id();
-        if (!held.accepted || !owed.remove(id, held)) {
+        if (!held.accepted || !outstandingMails.remove(id, held)) {
             return;
         }
         held.accepted = false;
-        pending.delete(TAKEN + id);
-        for (RecordedAttempt connect : held.attempts) {
-            pending.delete(of(CONNECT, id, connect.number()));
-            if (connect.neverRan()) {
-                pending.delete(of(NEVER_RAN, id, connect.number()));
+        pending.delete(ACCEPTED + id);
+        for (RecordedAttempt attempt : held.attempts) {
+            pending.delete(attemptKey(ATTEMPT, id, attempt.number()));
+            if (attempt.neverRan()) {
+                pending.delete(attemptKey(NEVER_RAN, id, attempt.number()));
             }
         }
         if (held.ending != null) {
             pending.delete(ENDING + id);
         }
-        if (remember > 0 && rememberBytes > 0) {
+        if (rememberMicros > 0 && rememberBytes > 0) {
             long now = micros.getAsLong();
             pending.put(REMEMBERED + id, ByteBuffer.allocate(8).putLong(now).array());
             remembered(id, now);
@@ -329,19 +362,20 @@
 
     private void remembered(String id, long at) {
         remembered.put(id, at);
-        rememberedBytes += id.length() + ID;
+        rememberedBytes += id.length() + REMEMBERED_ID_OVERHEAD_BYTES;
     }
 
-    private void forget() {
-        long before = micros.getAsLong() - remember;
+    /** Removes ids that are older than the time limit or exceed the byte limit, a bounded number at a time. */
+    private void expireRememberedIds() {
+        long before = micros.getAsLong() - rememberMicros;
         int count = 0;
-        for (Iterator<Map.Entry<String, Long>> all = remembered.entrySet().iterator(); all.hasNext() && count < FORGOTTEN_A_TURN;) {
+        for (Iterator<Map.Entry<String, Long>> all = remembered.entrySet().iterator(); all.hasNext() && count < MAX_EXPIRED_IDS_PER_ITERATION;) {
             Map.Entry<String, Long> oldest = all.next();
             if (oldest.getValue() >= before && rememberedBytes <= rememberBytes) {
                 return;
             }
             all.remove();
-            rememberedBytes -= oldest.getKey().length() + ID;
+            rememberedBytes -= oldest.getKey().length() + REMEMBERED_ID_OVERHEAD_BYTES;
             pending.delete(REMEMBERED + oldest.getKey());
             count++;
         }
@@ -353,7 +387,7 @@
         if (pending.isEmpty()) {
             return true;
         }
-        forget();
+        expireRememberedIds();
         Batch batch = pending;
         pending = new Batch();
         return write(batch, then);
@@ -363,43 +397,43 @@
         try {
             append(batch);
         } catch (IOException e) {
-            if (!ballast.release()) {
+            if (!reservedSpace.release()) {
                 throw e;
             }
             LogEvent.log(LOG, Level.ERROR, "store.short", "the disk takes no more: new mails are refused, what is owed goes on: {why}",
                     "why", e.getMessage());
             append(batch);
         }
-        restore();
+        restoreReservedSpace();
         if (!sync) {
             return true;
         }
-        if (forcing == null) {
-            forcing = Executors.newSingleThreadExecutor(work -> {
+        if (forceExecutor == null) {
+            forceExecutor = Executors.newSingleThreadExecutor(work -> {
                 Thread thread = new Thread(work, "wrenreach-store");
                 thread.setDaemon(true);
                 return thread;
             });
         }
         Store.Sync all = store.sync();
-        forcing.execute(() -> force(all, then));
+        forceExecutor.execute(() -> force(all, then));
         return false;
     }
 
-    private void restore() {
-        if (ballast.restore(micros.getAsLong())) {
+    private void restoreReservedSpace() {
+        if (reservedSpace.restore(micros.getAsLong())) {
             LogEvent.log(LOG, Level.WARNING, "store.room", "the disk has room again: mails are taken on");
         }
     }
 
-    /** One that cleaning can't make room for yet waits for what has to be forced before. */
+    /** Writes a batch. Where cleaning can't make room yet, it forces the store first, since cleaning may only delete what is forced. */
     private void append(Batch batch) throws IOException {
         for (int i = 0; ; i++) {
             try {
                 store.write(batch);
                 return;
             } catch (Store.Full e) {
-                if (!sync || i >= FORCED_FOR_ROOM) {
+                if (!sync || i >= MAX_FORCES_PER_WRITE) {
                     throw e;
                 }
                 Store.Sync all = store.sync();
@@ -420,38 +454,38 @@
                 }
             };
         } catch (IOException e) {
-            // What a failed sync leaves is unknown: nothing can be promised on it any more.
+            // After a failed sync it is unknown what is on the disk: nothing written to it can be confirmed any more.
             LogEvent.log(LOG, Level.ERROR, "store.sync", "the store can't be forced to the disk, the node stops: {why}", "why",
                     e.getMessage());
-            next = failed;
+            next = onFailure;
         }
         try {
             loop.execute(next);
         } catch (RejectedExecutionException e) {
-            // The node has stopped meanwhile.
+            // The event loop has stopped in the meantime.
             return;
         }
     }
 
     @Override public ListLog listLog() {
-        return lists;
+        return listLog;
     }
 
     @Override public long size() {
-        return store.stats().appended() + store.stats().copied();
+        return store.stats().appendedBytes() + store.stats().copiedBytes();
     }
 
-    /** What the store says of itself. */
+    /** Counters and sizes of the store. */
     public Store.Stats stats() {
         return store.stats();
     }
 
     @Override public void close() throws IOException {
         closed = true;
-        if (forcing != null) {
-            forcing.shutdown();
+        if (forceExecutor != null) {
+            forceExecutor.shutdown();
             try {
-                forcing.awaitTermination(1, TimeUnit.SECONDS);
+                forceExecutor.awaitTermination(1, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/store/src/main/java/wrenreach/store/FolderDisk.java
+++ b/store/src/main/java/wrenreach/store/FolderDisk.java
@@ -12,14 +12,15 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the machine, or of any file system that Java knows. */
+/** A folder of the default file system, or of any other that Java supports. */
 public final class FolderDisk implements Disk {
-    private static final String LOCK = "lock";
+    /** Name of the file whose lock keeps other processes out. */
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
-    private FileChannel lockFile;
+    private FileChannel lockChannel;
 
-    /** The folder must be there. */
+    /** Uses a folder that exists. */
     public FolderDisk(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new NotDirectoryException(folder.toString());
@@ -28,16 +29,16 @@
     }
 
     @Override public void lock() throws IOException {
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockChannel = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
-            lock = lockFile.tryLock();
+            lock = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
             lock = null;
         }
         if (lock == null) {
-            lockFile.close();
-            lockFile = null;
+            lockChannel.close();
+            lockChannel = null;
             throw new IOException("store " + folder + " is open in another process");
         }
     }
@@ -45,7 +46,7 @@
     @Override public List<String> list() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(Files::isRegularFile).map(file -> file.getFileName().toString())
-                    .filter(name -> !name.equals(LOCK)).sorted().toList();
+                    .filter(name -> !name.equals(LOCK_FILE)).sorted().toList();
         }
     }
 
@@ -54,7 +55,7 @@
                 create ? StandardOpenOption.CREATE_NEW : StandardOpenOption.WRITE));
     }
 
-    @Override public Handle read(String name) throws IOException {
+    @Override public Handle openReadOnly(String name) throws IOException {
         return new File(FileChannel.open(folder.resolve(name), StandardOpenOption.READ));
     }
 
@@ -63,21 +64,21 @@
     }
 
     @Override public void forceDirectory() throws IOException {
-        FileChannel names;
+        FileChannel directory;
         try {
-            names = FileChannel.open(folder, StandardOpenOption.READ);
+            directory = FileChannel.open(folder, StandardOpenOption.READ);
         } catch (IOException e) {
-            // A system that opens no folders keeps names by itself.
+            // Where a directory can't be opened as a file, the operating system persists file names by itself.
             return;
         }
-        try (names) {
-            names.force(true);
+        try (directory) {
+            directory.force(true);
         }
     }
 
     @Override public void close() throws IOException {
-        if (lockFile != null) {
-            lockFile.close();
+        if (lockChannel != null) {
+            lockChannel.close();
         }
     }
 
--- a/store/src/main/java/wrenreach/store/Store.java
+++ b/store/src/main/java/wrenreach/store/Store.java
@@ -12,11 +12,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * An embedded store of keys and values: batches appended to segments, an index in memory, the oldest segments cleaned in
- * slices. One thread owns it, but for {@link #force}. The format is in docs/store-format.md. It knows nothing of what it holds.
+ * An embedded log-structured key-value store. Batches are appended to segment files, an index of all keys is held in memory, and
+ * the oldest segments are cleaned (compacted) in slices. A store is confined to one thread, except for {@link Sync#force}. The file
+ * format is described in docs/store-format.md. Values are opaque to the store.
  */
 public final class Store implements AutoCloseable {
-    /** The store can't be used as it is; nothing was changed. */
+    /** The store can't be opened as it is, for instance because a newer version wrote it; nothing was changed. */
     public static final class Unusable extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -25,7 +26,7 @@
         }
     }
 
-    /** There is no room for a batch; nothing was written. */
+    /** The size limit leaves no room for a batch; nothing was written. */
     public static final class Full extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -34,67 +35,92 @@
         }
     }
 
-    /** Something that is not as it was written. lost: batches that are missing there; 0: only bytes that were given up. */
-    public record DamagedRange(String file, long at, long bytes, long lost) {
-        /** In words. */
+    /**
+     * A range of a segment file that can't be read as it was written.
+     *
+     * @param offset where it begins, in bytes
+     * @param bytes its length
+     * @param lostBatches how many batches are missing there; 0: only bytes were skipped
+     */
+    public record DamagedRange(String file, long offset, long bytes, long lostBatches) {
+        /** The range as a text for logs and commands. */
         public String describe() {
-            return file + ": " + bytes + " bytes from " + at + " on can't be read" + (lost > 0 ? ", " + lost + " batches are lost" : "");
+            return file + ": " + bytes + " bytes from " + offset + " on can't be read" + (lostBatches > 0 ? ", " + lostBatches + " batches are lost" : "");
         }
     }
 
-    /** What opening found. torn: bytes of a last write that was never finished, cut off. */
+    /**
+     * What was found when the store was opened.
+     *
+     * @param truncatedBytes bytes of a last write that was never finished, which were cut off
+     * @param damagedRanges what could not be read
+     * @param batches how many batches were read
+     */
     public record RecoveryReport(long truncatedBytes, List<DamagedRange> damagedRanges, long batches) {
-        /** Whether batches that once were written are missing. */
+        /** Whether any written batches are missing. */
         public boolean damaged() {
-            return damagedRanges.stream().anyMatch(hole -> hole.lost > 0);
+            return damagedRanges.stream().anyMatch(range -> range.lostBatches > 0);
         }
     }
 
     /**
-     * Sizes in bytes. copied: rewritten by cleaning; appended: written by callers; behind: writes that had to clean first;
-     * hindered: cleanings that the disk did not let go on.
+     * Counters and sizes of the store.
+     *
+     * @param keys keys that have a value
+     * @param segments segment files
+     * @param usedBytes size of all segments in whole blocks
+     * @param liveBytes size of the records that the index refers to
+     * @param appendedBytes bytes written by callers
+     * @param copiedBytes bytes rewritten by cleaning
+     * @param sequence sequence number of the last batch
+     * @param delayedWrites writes that had to wait for cleaning first
+     * @param failedCleanings cleanings that were stopped by an error of the disk
      */
-    public record Stats(int keys, int segments, long used, long live, long appended, long copied, long sequence, long behind,
-                        long hindered) { }
+    public record Stats(int keys, int segments, long usedBytes, long liveBytes, long appendedBytes, long copiedBytes, long sequence, long delayedWrites,
+                        long failedCleanings) { }
 
-    private record Place(Segment segment, long at, int length) { }
+    /** Where the current record of a key stands; offset and length in bytes. */
+    private record RecordLocation(Segment segment, long offset, int length) { }
 
-    /** What is not sure to outlast a loss of power yet; {@link #force} may run on a thread of its own. */
+    /** The writes that may not survive a loss of power yet. {@link #force} may run on any thread, while the store is in use. */
     public static final class Sync {
         private final Disk disk;
         private final List<Disk.Handle> files;
-        private final boolean names;
-        /** The last batch that it covers. */
+        private final boolean directoryChanged;
+        /** Sequence number of the last batch that it covers. */
         private final long sequence;
-        private final long order;
+        private final long ordinal;
 
-        private Sync(Disk disk, List<Disk.Handle> files, boolean names, long sequence, long order) {
-            this.order = order;
+        private Sync(Disk disk, List<Disk.Handle> files, boolean directoryChanged, long sequence, long ordinal) {
+            this.ordinal = ordinal;
             this.disk = disk;
             this.files = files;
-            this.names = names;
+            this.directoryChanged = directoryChanged;
             this.sequence = sequence;
         }
 
-        /** Returns once all of it will outlast a loss of power. */
+        /** Returns once all of these writes are on stable storage, safe from a loss of power. */
         public void force() throws IOException {
             for (Disk.Handle file : files) {
                 file.force();
             }
-            if (names) {
+            if (directoryChanged) {
                 disk.forceDirectory();
             }
         }
     }
 
-    /** One file; places: how many of its records the index points at; written: the last batch that went into it. */
+    /** One segment file. */
     private static final class Segment {
         final long number;
         final Disk.Handle file;
         long size;
-        boolean broken;
-        int places;
-        long written;
+        /** Whether its end or its header is in doubt, so that nothing may be appended. */
+        boolean unwritable;
+        /** How many of its records the index refers to. */
+        int liveRecords;
+        /** Sequence number of the last batch that was written to it. */
+        long lastSequence;
 
         Segment(long number, Disk.Handle file) {
             this.number = number;
@@ -103,39 +129,56 @@
     }
 
     private static final byte[] MAGIC = {'W', 'R', 'E', 'N', 'S', 'T', 'O', 'R'};
-    /** The head stands twice, so that damage to one of them costs nothing. */
-    static final int VERSION = 1, HEAD = 36, FILE_HEAD = 2 * HEAD, STEP = 512;
-    private static final String PREFIX = "segment-", SUFFIX = ".log";
+    /** Version of the file format that is written; files of a newer one are refused. */
+    static final int FORMAT_VERSION = 1;
+    /** Size of one copy of a segment's header. */
+    static final int HEADER_BYTES = 36;
+    /** Size of a segment's header. It is stored twice, so that damage to one copy costs nothing. */
+    static final int SEGMENT_HEADER_BYTES = 2 * HEADER_BYTES;
+    /** Unit of space on the disk: the size of a file is counted in whole blocks. */
+    static final int BLOCK_BYTES = 512;
+    /** Beginning of the name of a segment file, before its number. */
+    private static final String PREFIX = "segment-";
+    /** End of the name of a segment file. */
+    private static final String SUFFIX = ".log";
 
     private final Disk disk;
     private final CompactionPlanner planner;
     private final boolean readOnly;
     private final boolean sync;
-    private final TreeMap<String, Place> index = new TreeMap<>();
+    /** Where the value of each key stands. */
+    private final TreeMap<String, RecordLocation> index = new TreeMap<>();
+    /** Oldest first; batches are appended to the last one. */
     private final List<Segment> segments = new ArrayList<>();
-    private final List<DamagedRange> holes = new ArrayList<>();
-    private long torn;
-    private long batches;
+    private final List<DamagedRange> damagedRanges = new ArrayList<>();
+    private long truncatedBytes;
+    private long recoveredBatches;
     private long sequence;
-    private long live;
-    private long used;
-    private long appended;
-    private long copied;
-    private long cursor = FILE_HEAD;
-    private int pins;
+    private long liveBytes;
+    private long usedBytes;
+    private long appendedBytes;
+    private long copiedBytes;
+    /** How far the oldest segment has been cleaned, in bytes. */
+    private long cleaningOffset = SEGMENT_HEADER_BYTES;
+    /** Snapshots that are being copied; nothing is cleaned meanwhile. */
+    private int openSnapshots;
+    /** Begins the checksum of each frame, see {@link Batch}. */
     private int salt;
-    /** Whether it is known which sequence the log begins with. */
-    private boolean based;
-    private boolean named;
-    /** Whether a file was deleted and the deletion not forced. */
-    private boolean dropped;
-    private long droppedAt;
-    private long syncs;
+    /** Whether it is known which sequence number the log begins with. */
+    private boolean firstSequenceKnown;
+    /** Whether files were created or deleted since the last {@link #sync}. */
+    private boolean directoryChanged;
+    /** Whether a file was deleted and the deletion is not forced yet. */
+    private boolean deletionUnforced;
+    /** Ordinal of the first {@link Sync} that covers the last deletion. */
+    private long deletionOrdinal;
+    private long nextSyncOrdinal;
+    /** Sequence number of the last batch that is known to be forced. */
     private long forced;
-    /** The last batch when all of the oldest segment had been gone through; -1: that is still to come. */
-    private long goneThrough = -1;
-    private long behind;
-    private long hindered;
+    /** Sequence number of the last batch when the whole of the oldest segment had been scanned; -1: not scanned yet. */
+    private long scannedSequence = -1;
+    private long delayedWrites;
+    private long failedCleanings;
 
     private Store(Disk disk, long limit, boolean readOnly, boolean sync) {
         this.disk = disk;
@@ -145,27 +188,29 @@
     }
 
     /**
-     * Opens a store for writing, or makes a new one. limit: bytes that it may take on disk, in steps of 512; sync: what was
-     * copied by cleaning is forced before its old place goes, and {@link #sync} is used; salt: any number that who hands in
-     * values can't know, for a new store.
+     * Opens a store for writing, or creates a new one.
+     *
+     * @param limit bytes that it may take on disk, in blocks of 512
+     * @param sync whether the caller uses {@link #sync}; copies made by cleaning are then forced before the original is deleted
+     * @param salt for a new store: any number that those who supply the values can't know
      */
     public static Store open(Disk disk, long limit, boolean sync, int salt) throws IOException {
         disk.lock();
         Store store = new Store(disk, limit, false, sync);
         store.salt = salt;
-        return opened(store);
+        return finishOpening(store);
     }
 
-    /** Opens it for reading: nothing is locked, cut or written. */
+    /** Opens a store for reading only: nothing is locked, truncated or written. */
     public static Store openReadOnly(Disk disk) throws IOException {
-        return opened(new Store(disk, Long.MAX_VALUE / 4, true, false));
+        return finishOpening(new Store(disk, Long.MAX_VALUE / 4, true, false));
     }
 
-    private static Store opened(Store store) throws IOException {
+    private static Store finishOpening(Store store) throws IOException {
         try {
             store.recover();
             if (store.sync) {
-                // What was found is promised from now on. Guards it: a batch to come says up to where all was forced.
+                // All that was recovered counts as durable from now on, since each later frame records up to which batch everything was forced.
                 Sync all = store.sync();
                 all.force();
                 store.forced(all);
@@ -177,7 +222,7 @@
         }
     }
 
-    private static String name(long number) {
+    private static String fileName(long number) {
         return String.format(Locale.ROOT, "%s%016d%s", PREFIX, number, SUFFIX);
     }
 
@@ -185,7 +230,7 @@
         return name.matches(PREFIX + "\\d{16}" + SUFFIX.replace(".", "\\."));
     }
 
-    /** Whether a folder's files look like a store's. */
+    /** Whether a folder holds segment files of a store. */
     public static boolean isStore(Disk disk) throws IOException {
         return disk.list().stream().anyMatch(Store::isSegment);
     }
@@ -194,15 +239,15 @@
 
     private void recover() throws IOException {
         List<String> names = disk.list().stream().filter(Store::isSegment).sorted().toList();
-        // Nothing may be touched before all versions are known to be readable.
+        // All versions are checked first, so that a store of a newer version is left untouched.
         for (String name : names) {
-            try (Disk.Handle file = disk.read(name)) {
-                byte[] bytes = new byte[FILE_HEAD];
+            try (Disk.Handle file = disk.openReadOnly(name)) {
+                byte[] bytes = new byte[SEGMENT_HEADER_BYTES];
                 file.read(0, ByteBuffer.wrap(bytes));
-                int head = head(bytes);
-                if (head >= 0 && ByteBuffer.wrap(bytes).getInt(head + 8) > VERSION) {
+                int head = findHeader(bytes);
+                if (head >= 0 && ByteBuffer.wrap(bytes).getInt(head + 8) > FORMAT_VERSION) {
                     throw new Unusable(name + " is of version " + ByteBuffer.wrap(bytes).getInt(head + 8)
-                            + ", newer than this build's " + VERSION);
+                            + ", newer than this build's " + FORMAT_VERSION);
                 }
                 salt = head >= 0 ? ByteBuffer.wrap(bytes).getInt(head + 28) : salt;
             }
@@ -215,158 +260,161 @@
     }
 
     /**
-     * Whether what is missing before the place was never forced: then it was not promised, nor was anything behind it, and the
-     * log ends there. Else it is damage.
+     * Whether the batches that are missing before this offset were never forced. Then neither they nor anything after them were
+     * confirmed to anyone, and the log ends there; otherwise they are damage.
+     *
+     * @param later names of the segments that follow
      */
-    private boolean endsHere(byte[] bytes, int from, List<String> later) throws IOException {
-        long most = forcedLater(bytes, from);
+    private boolean isUnforcedTail(byte[] bytes, int from, List<String> later) throws IOException {
+        long max = maxForcedSequence(bytes, from);
         for (String name : later) {
-            try (Disk.Handle file = disk.read(name)) {
+            try (Disk.Handle file = disk.openReadOnly(name)) {
                 byte[] more = new byte[Math.toIntExact(file.size())];
                 file.read(0, ByteBuffer.wrap(more));
-                most = Math.max(most, forcedLater(more, FILE_HEAD));
+                max = Math.max(max, maxForcedSequence(more, SEGMENT_HEADER_BYTES));
             }
         }
-        return most >= 0 && most <= sequence;
+        return max >= 0 && max <= sequence;
     }
 
-    private long forcedLater(byte[] bytes, int from) {
-        long most = Long.MIN_VALUE;
-        for (int at = anySound(bytes, from); at >= 0; at = anySound(bytes, at + 1)) {
-            most = Math.max(most, Batch.forced(bytes, at));
+    /** The highest forced sequence number that the valid frames from there on record; Long.MIN_VALUE: there are none. */
+    private long maxForcedSequence(byte[] bytes, int from) {
+        long max = Long.MIN_VALUE;
+        for (int at = findNextFrame(bytes, from); at >= 0; at = findNextFrame(bytes, at + 1)) {
+            max = Math.max(max, Batch.forcedSequence(bytes, at));
         }
-        return most;
+        return max;
     }
 
-    /** Cuts the log off there. */
-    private void cut(Segment segment, long at, List<String> later) throws IOException {
-        torn += segment.size - at;
+    /** Truncates the log at this offset of the segment and deletes the later segments. */
+    private void truncateLog(Segment segment, long at, List<String> later) throws IOException {
+        truncatedBytes += segment.size - at;
         for (String name : later) {
-            try (Disk.Handle file = disk.read(name)) {
-                torn += file.size();
+            try (Disk.Handle file = disk.openReadOnly(name)) {
+                truncatedBytes += file.size();
             }
         }
         if (!readOnly) {
-            // The newest go first: a cut that is cut short leaves what the next start cuts again.
+            // The newest go first: if this is interrupted, the next start finds the same gap and truncates again.
             for (int i = later.size() - 1; i >= 0; i--) {
                 disk.delete(later.get(i));
             }
             segment.file.truncate(at);
-            grown(segment, at);
+            setSize(segment, at);
         }
     }
 
-    /** Where the first sound head stands; -1: neither is. */
-    private static int head(byte[] bytes) {
-        for (int at = 0; at + HEAD <= Math.min(bytes.length, FILE_HEAD); at += HEAD) {
+    /** Offset of the first valid copy of the header; -1: neither is valid. */
+    private static int findHeader(byte[] bytes) {
+        for (int at = 0; at + HEADER_BYTES <= Math.min(bytes.length, SEGMENT_HEADER_BYTES); at += HEADER_BYTES) {
             if (Arrays.equals(bytes, at, at + MAGIC.length, MAGIC, 0, MAGIC.length)
-                    && ByteBuffer.wrap(bytes).getInt(at + HEAD - 4) == headCheck(bytes, at)) {
+                    && ByteBuffer.wrap(bytes).getInt(at + HEADER_BYTES - 4) == headerChecksum(bytes, at)) {
                 return at;
             }
         }
         return -1;
     }
 
-    /** Takes in one file; whether the log ends with it, whatever comes later. */
+    /** Reads one segment into the index; true: the log ends with it, whatever files follow. */
     private boolean recover(String name, List<String> later) throws IOException {
         boolean last = later.isEmpty();
-        Disk.Handle file = readOnly ? disk.read(name) : disk.open(name, false);
+        Disk.Handle file = readOnly ? disk.openReadOnly(name) : disk.open(name, false);
         long number = Long.parseLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()));
         Segment segment = new Segment(number, file);
         segment.size = file.size();
         byte[] bytes = new byte[Math.toIntExact(segment.size)];
         file.read(0, ByteBuffer.wrap(bytes));
-        int head = head(bytes);
-        int at = FILE_HEAD;
-        int lastGood = FILE_HEAD;
-        if (head < 0 || bytes.length < FILE_HEAD) {
-            if (last && anySound(bytes, 0) < 0) {
-                // A file that was begun and never got its first batch.
-                torn += bytes.length;
+        int head = findHeader(bytes);
+        int at = SEGMENT_HEADER_BYTES;
+        int lastGood = SEGMENT_HEADER_BYTES;
+        if (head < 0 || bytes.length < SEGMENT_HEADER_BYTES) {
+            if (last && findNextFrame(bytes, 0) < 0) {
+                // The segment was created, but its first batch was never written.
+                truncatedBytes += bytes.length;
                 file.close();
                 if (!readOnly) {
                     disk.delete(name);
                 }
                 return true;
             }
-            holes.add(new DamagedRange(name, 0, Math.min(FILE_HEAD, bytes.length), 0));
-            segment.broken = true;
-            // The first of all begins with the first batch, whatever became of its head.
-            based |= number == 1;
+            damagedRanges.add(new DamagedRange(name, 0, Math.min(SEGMENT_HEADER_BYTES, bytes.length), 0));
+            segment.unwritable = true;
+            // Segment 1 always begins with the first batch, even if its header is damaged.
+            firstSequenceKnown |= number == 1;
         } else {
             long before = ByteBuffer.wrap(bytes).getLong(head + 20) - 1;
-            if (based && before > sequence) {
-                if (endsHere(bytes, FILE_HEAD, later)) {
+            if (firstSequenceKnown && before > sequence) {
+                if (isUnforcedTail(bytes, SEGMENT_HEADER_BYTES, later)) {
                     List<String> all = new ArrayList<>(List.of(name));
                     all.addAll(later);
                     file.close();
-                    cut(segments.get(segments.size() - 1), segments.get(segments.size() - 1).size, all);
+                    truncateLog(segments.get(segments.size() - 1), segments.get(segments.size() - 1).size, all);
                     return true;
                 }
-                holes.add(new DamagedRange(name, 0, 0, before - sequence));
+                damagedRanges.add(new DamagedRange(name, 0, 0, before - sequence));
             }
             sequence = Math.max(sequence, before);
-            based = true;
+            firstSequenceKnown = true;
         }
         segments.add(segment);
-        used += steps(segment.size);
+        usedBytes += roundUpToBlocks(segment.size);
         while (at < bytes.length) {
-            int length = Batch.soundAt(bytes, at, bytes.length, salt);
+            int length = Batch.validFrameLength(bytes, at, bytes.length, salt);
             if (length > 0 && Batch.sequence(bytes, at) > sequence) {
                 long own = Batch.sequence(bytes, at);
-                if (based && own > sequence + 1) {
-                    if (endsHere(bytes, at, later)) {
-                        dropHoleAt(name, at);
-                        cut(segment, lastGood, later);
+                if (firstSequenceKnown && own > sequence + 1) {
+                    if (isUnforcedTail(bytes, at, later)) {
+                        removeDamagedRangeBefore(name, at);
+                        truncateLog(segment, lastGood, later);
                         return true;
                     }
-                    noteLost(name, at, own - sequence - 1);
+                    recordLostBatches(name, at, own - sequence - 1);
                 }
                 sequence = own;
-                based = true;
-                segment.written = own;
-                apply(segment, bytes, at, length);
-                batches++;
+                firstSequenceKnown = true;
+                segment.lastSequence = own;
+                indexFrame(segment, bytes, at, length);
+                recoveredBatches++;
                 at += length;
                 lastGood = at;
                 continue;
             }
-            int next = anySound(bytes, at + 1);
+            int next = findNextFrame(bytes, at + 1);
             if (next < 0 && last) {
-                torn += bytes.length - at;
+                truncatedBytes += bytes.length - at;
                 if (!readOnly) {
                     file.truncate(at);
-                    used -= steps(segment.size) - steps(at);
+                    usedBytes -= roundUpToBlocks(segment.size) - roundUpToBlocks(at);
                     segment.size = at;
                 }
                 return true;
             }
             int end = next < 0 ? bytes.length : next;
-            holes.add(new DamagedRange(name, at, end - at, 0));
+            damagedRanges.add(new DamagedRange(name, at, end - at, 0));
             at = end;
         }
         return false;
     }
 
-    /** Bytes that could not be read are part of what is cut off. */
-    private void dropHoleAt(String name, int end) {
-        holes.removeIf(hole -> hole.file.equals(name) && hole.at + hole.bytes == end && hole.lost == 0);
+    /** Forgets a range of unreadable bytes that ends there, since it is part of the tail that is truncated. */
+    private void removeDamagedRangeBefore(String name, int end) {
+        damagedRanges.removeIf(range -> range.file.equals(name) && range.offset + range.bytes == end && range.lostBatches == 0);
     }
 
-    /** The batches that are missing stand where bytes could not be read, if any. */
-    private void noteLost(String name, int before, long lost) {
-        DamagedRange hole = holes.isEmpty() ? null : holes.get(holes.size() - 1);
-        if (hole != null && hole.file.equals(name) && hole.at + hole.bytes == before) {
-            holes.set(holes.size() - 1, new DamagedRange(name, hole.at, hole.bytes, lost));
+    /** Records missing batches, as part of the unreadable range that ends there, if there is one. */
+    private void recordLostBatches(String name, int before, long lost) {
+        DamagedRange range = damagedRanges.isEmpty() ? null : damagedRanges.get(damagedRanges.size() - 1);
+        if (range != null && range.file.equals(name) && range.offset + range.bytes == before) {
+            damagedRanges.set(damagedRanges.size() - 1, new DamagedRange(name, range.offset, range.bytes, lost));
         } else {
-            holes.add(new DamagedRange(name, before, 0, lost));
+            damagedRanges.add(new DamagedRange(name, before, 0, lost));
         }
     }
 
-    /** Where the next sound batch stands that is newer than all before; -1: there is none. */
-    private int anySound(byte[] bytes, int from) {
-        for (int at = from; at + Batch.HEAD < bytes.length; at++) {
-            int length = Batch.soundAt(bytes, at, bytes.length, salt);
+    /** Offset of the next valid frame whose batch is newer than all that were read; -1: there is none. */
+    private int findNextFrame(byte[] bytes, int from) {
+        for (int at = from; at + Batch.FRAME_HEADER_BYTES < bytes.length; at++) {
+            int length = Batch.validFrameLength(bytes, at, bytes.length, salt);
             if (length > 0 && Batch.sequence(bytes, at) > sequence) {
                 return at;
             }
@@ -374,55 +422,59 @@
         return -1;
     }
 
-    private void apply(Segment segment, byte[] bytes, int at, int length) {
+    private void indexFrame(Segment segment, byte[] bytes, int at, int length) {
         for (Batch.Entry entry : Batch.entries(bytes, at, length)) {
-            point(entry, segment, at);
+            updateIndex(entry, segment, at);
         }
     }
 
-    private void point(Batch.Entry entry, Segment segment, long frame) {
-        segment.places += entry.type() == Batch.PUT ? 1 : 0;
-        Place before = entry.type() == Batch.PUT
-                ? index.put(entry.key(), new Place(segment, frame + entry.at(), entry.length())) : index.remove(entry.key());
+    private void updateIndex(Batch.Entry entry, Segment segment, long frame) {
+        segment.liveRecords += entry.type() == Batch.PUT ? 1 : 0;
+        RecordLocation before = entry.type() == Batch.PUT
+                ? index.put(entry.key(), new RecordLocation(segment, frame + entry.offset(), entry.length())) : index.remove(entry.key());
         if (before != null) {
-            before.segment.places--;
+            before.segment.liveRecords--;
         }
-        live += (entry.type() == Batch.PUT ? entry.length() : 0) - (before == null ? 0 : before.length);
+        liveBytes += (entry.type() == Batch.PUT ? entry.length() : 0) - (before == null ? 0 : before.length);
     }
 
-    /** What opening found. */
+    /** What was found when the store was opened. */
     public RecoveryReport recovered() {
-        return new RecoveryReport(torn, List.copyOf(holes), batches);
+        return new RecoveryReport(truncatedBytes, List.copyOf(damagedRanges), recoveredBatches);
     }
 
     // ---- Reading ----
 
-    /** What a key holds; null: nothing. IOException: it can't be read, or not as it was written. */
+    /**
+     * The value of a key; null: it has none.
+     *
+     * @throws IOException the record can't be read, or its checksum is wrong
+     */
     public byte[] get(String key) throws IOException {
-        Place place = index.get(key);
+        RecordLocation place = index.get(key);
         if (place == null) {
             return null;
         }
-        byte[] value = value(place);
+        byte[] value = readValue(place);
         if (value == null) {
-            throw new IOException(name(place.segment.number) + ": the record at " + place.at + " is damaged");
+            throw new IOException(fileName(place.segment.number) + ": the record at " + place.offset + " is damaged");
         }
         return value;
     }
 
-    private static byte[] value(Place place) throws IOException {
+    private static byte[] readValue(RecordLocation place) throws IOException {
         ByteBuffer record = ByteBuffer.allocate(place.length);
-        return place.segment.file.read(place.at, record) < place.length ? null : Batch.value(record.array());
+        return place.segment.file.read(place.offset, record) < place.length ? null : Batch.recordValue(record.array());
     }
 
-    /** All keys and values in the order of the keys. */
-    public void forEach(BiConsumer<String, byte[]> takes) throws IOException {
-        for (Map.Entry<String, Place> entry : index.entrySet()) {
-            byte[] value = value(entry.getValue());
+    /** Passes all keys and values to the consumer, in the order of the keys. */
+    public void forEach(BiConsumer<String, byte[]> consumer) throws IOException {
+        for (Map.Entry<String, RecordLocation> entry : index.entrySet()) {
+            byte[] value = readValue(entry.getValue());
             if (value == null) {
                 throw new IOException("the value of " + entry.getKey() + " is damaged");
             }
-            takes.accept(entry.getKey(), value);
+            consumer.accept(entry.getKey(), value);
         }
     }
 
@@ -431,36 +483,46 @@
     }
 
     public Stats stats() {
-        return new Stats(index.size(), segments.size(), used, live, appended, copied, sequence, behind, hindered);
+        return new Stats(index.size(), segments.size(), usedBytes, liveBytes, appendedBytes, copiedBytes, sequence, delayedWrites, failedCleanings);
     }
 
     // ---- Writing ----
 
-    /** Whether new content of that size may be taken on; pledged: bytes that are still to come for what is held already. */
+    /**
+     * Whether new content of that size may be accepted.
+     *
+     * @param pledged bytes that are still to be written for content that was accepted before
+     */
     public boolean fits(long pledged, long bytes) {
-        return planner.fits(live, pledged, bytes);
+        return planner.fits(liveBytes, pledged, bytes);
     }
 
-    /** Writes all of a batch or nothing; its sequence. Full: there is no room now. IOException: the disk failed. */
+    /**
+     * Writes all of a batch or nothing.
+     *
+     * @return the sequence number of the batch; of the last one where the batch is empty
+     * @throws Full there is no room at present
+     * @throws IOException the disk failed
+     */
     public long write(Batch batch) throws IOException {
         if (batch.isEmpty()) {
             return sequence;
         }
         if (!mayWrite(batch.size())) {
-            // What is behind with cleaning is made up for before anything is refused.
-            behind++;
+            // Cleaning that has fallen behind is caught up with before a write is refused.
+            delayedWrites++;
             clean(Long.MAX_VALUE, batch.size());
         }
         if (!mayWrite(batch.size())) {
-            throw new Full("no room for " + batch.size() + " bytes beside " + used);
+            throw new Full("no room for " + batch.size() + " bytes beside " + usedBytes);
         }
         long written = append(batch);
-        appended += batch.size();
+        appendedBytes += batch.size();
         try {
-            clean(planner.slice(used, live, batch.size()), 0);
+            clean(planner.bytesToClean(usedBytes, liveBytes, batch.size()), 0);
         } catch (IOException e) {
-            // The batch is written. What hindered the cleaning will hinder a later write, or be over by then.
-            hindered++;
+            // The batch is written all the same. A lasting fault will show at a later write.
+            failedCleanings++;
         }
         return written;
     }
@@ -470,27 +532,27 @@
         for (Segment segment : segments) {
             largest = Math.max(largest, segment.size);
         }
-        return planner.mayWrite(used, steps(bytes) + STEP, Math.max(largest, FILE_HEAD + bytes));
+        return planner.mayWrite(usedBytes, roundUpToBlocks(bytes) + BLOCK_BYTES, Math.max(largest, SEGMENT_HEADER_BYTES + bytes));
     }
 
     private long append(Batch batch) throws IOException {
         Segment head = segments.isEmpty() ? null : segments.get(segments.size() - 1);
-        if (head == null || head.broken || head.size > FILE_HEAD && head.size + batch.size() > planner.segment) {
-            head = roll();
+        if (head == null || head.unwritable || head.size > SEGMENT_HEADER_BYTES && head.size + batch.size() > planner.segmentBytes) {
+            head = startSegment();
         }
         byte[] frame = batch.frame(sequence + 1, sync ? forced : -1, salt);
         long at = head.size;
         try {
             writeAll(head, at, frame);
         } catch (IOException e) {
-            giveUp(head, at);
+            undoWrite(head, at);
             throw e;
         }
         sequence++;
-        head.written = sequence;
-        grown(head, at + frame.length);
+        head.lastSequence = sequence;
+        setSize(head, at + frame.length);
         for (Batch.Entry entry : Batch.entries(frame, 0, frame.length)) {
-            point(entry, head, at);
+            updateIndex(entry, head, at);
         }
         return sequence;
     }
@@ -504,199 +566,206 @@
         }
     }
 
-    /** Takes back what a failed write may have left; where that fails too, the file is not written any more. */
-    private void giveUp(Segment head, long size) {
+    /** Removes what a failed write may have left. Where that fails too, nothing is appended to the file any more. */
+    private void undoWrite(Segment head, long size) {
         try {
             head.file.truncate(size);
         } catch (IOException e) {
-            head.broken = true;
+            head.unwritable = true;
             try {
-                grown(head, Math.max(size, head.file.size()));
+                setSize(head, Math.max(size, head.file.size()));
             } catch (IOException unknown) {
-                // It may be as long as the write would have made it; counted at the next start.
+                // Its size is unknown, at most what the write would have made it; the next start counts it.
                 return;
             }
         }
     }
 
-    private void grown(Segment segment, long size) {
-        used += steps(size) - steps(segment.size);
+    /** Sets the size of a segment and counts the change as used. */
+    private void setSize(Segment segment, long size) {
+        usedBytes += roundUpToBlocks(size) - roundUpToBlocks(segment.size);
         segment.size = size;
     }
 
-    private static long steps(long bytes) {
-        return (bytes + STEP - 1) / STEP * STEP;
+    private static long roundUpToBlocks(long bytes) {
+        return (bytes + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
     }
 
-    private Segment roll() throws IOException {
+    private Segment startSegment() throws IOException {
         long number = segments.isEmpty() ? 1 : segments.get(segments.size() - 1).number + 1;
-        Disk.Handle file = disk.open(name(number), true);
+        Disk.Handle file = disk.open(fileName(number), true);
         Segment segment = new Segment(number, file);
-        byte[] one = ByteBuffer.allocate(HEAD).put(MAGIC).putInt(VERSION).putLong(number).putLong(sequence + 1).putInt(salt).array();
-        ByteBuffer.wrap(one).putInt(HEAD - 4, headCheck(one, 0));
-        byte[] head = ByteBuffer.allocate(FILE_HEAD).put(one).put(one).array();
+        byte[] one = ByteBuffer.allocate(HEADER_BYTES).put(MAGIC).putInt(FORMAT_VERSION).putLong(number).putLong(sequence + 1).putInt(salt).array();
+        ByteBuffer.wrap(one).putInt(HEADER_BYTES - 4, headerChecksum(one, 0));
+        byte[] head = ByteBuffer.allocate(SEGMENT_HEADER_BYTES).put(one).put(one).array();
         try {
             writeAll(segment, 0, head);
         } catch (IOException e) {
             file.close();
-            disk.delete(name(number));
+            disk.delete(fileName(number));
             throw e;
         }
         segments.add(segment);
-        named = true;
-        grown(segment, FILE_HEAD);
+        directoryChanged = true;
+        setSize(segment, SEGMENT_HEADER_BYTES);
         return segment;
     }
 
-    private static int headCheck(byte[] bytes, int at) {
+    private static int headerChecksum(byte[] bytes, int at) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, at, HEAD - 4);
+        crc.update(bytes, at, HEADER_BYTES - 4);
         return (int) crc.getValue();
     }
 
-    /** What is to be forced for all that was written so far to outlast a loss of power. */
+    /** What has to be forced so that all that was written so far survives a loss of power. Pass it to {@link #forced} afterwards. */
     public Sync sync() {
-        Sync next = new Sync(disk, segments.stream().filter(segment -> segment.written > forced).map(segment -> segment.file).toList(),
-                named, sequence, syncs++);
-        named = false;
+        Sync next = new Sync(disk, segments.stream().filter(segment -> segment.lastSequence > forced).map(segment -> segment.file).toList(),
+                directoryChanged, sequence, nextSyncOrdinal++);
+        directoryChanged = false;
         return next;
     }
 
-    /** It has been forced. */
+    /** Records that {@link Sync#force} has succeeded. */
     public void forced(Sync done) {
         forced = Math.max(forced, done.sequence);
-        dropped &= !done.names || done.order < droppedAt;
+        deletionUnforced &= !done.directoryChanged || done.ordinal < deletionOrdinal;
     }
 
     // ---- Cleaning ----
 
-    /** Goes through the oldest segments for so many bytes, or until a write of that size has room. */
+    /**
+     * Scans the oldest segments, copies their live records and deletes them.
+     *
+     * @param bytes how much to scan
+     * @param wanted size of a write; cleaning ends once there is room for it; 0: only after all of the bytes
+     */
     private void clean(long bytes, long wanted) throws IOException {
         long left = bytes;
-        while (left > 0 && segments.size() > 1 && pins == 0 && (wanted == 0 || !mayWrite(wanted))) {
+        while (left > 0 && segments.size() > 1 && openSnapshots == 0 && (wanted == 0 || !mayWrite(wanted))) {
             Segment oldest = segments.get(0);
-            if (cursor >= oldest.size) {
-                if (sync && (dropped || forced < goneThroughAt())) {
+            if (cleaningOffset >= oldest.size) {
+                if (sync && (deletionUnforced || forced < sequenceToForce())) {
                     return;
                 }
-                drop(oldest);
+                deleteOldest(oldest);
                 continue;
             }
-            if (oldest.places > 0 && !planner.mayCopy(used, steps(oldest.size - cursor) + STEP)) {
+            if (oldest.liveRecords > 0 && !planner.mayCopy(usedBytes, roundUpToBlocks(oldest.size - cleaningOffset) + BLOCK_BYTES)) {
                 return;
             }
-            if (oldest.places == 0) {
-                cursor = oldest.size;
-                left -= STEP;
+            if (oldest.liveRecords == 0) {
+                cleaningOffset = oldest.size;
+                left -= BLOCK_BYTES;
                 continue;
             }
-            long part = Math.min(oldest.size - cursor, Math.max(Math.min(left, planner.segment), Batch.HEAD));
-            left -= move(oldest, part);
+            long part = Math.min(oldest.size - cleaningOffset, Math.max(Math.min(left, planner.segmentBytes), Batch.FRAME_HEADER_BYTES));
+            left -= copyLiveRecords(oldest, part);
         }
     }
 
     /**
-     * What has to be forced before the oldest segment may go: not its copies alone, also whatever replaced or deleted what it
-     * holds.
+     * The sequence number that has to be forced before the oldest segment may be deleted. It covers not only the copies of its
+     * live records, but also the batches that replaced or deleted its other records.
      */
-    private long goneThroughAt() {
-        goneThrough = goneThrough < 0 ? sequence : goneThrough;
-        return goneThrough;
+    private long sequenceToForce() {
+        scannedSequence = scannedSequence < 0 ? sequence : scannedSequence;
+        return scannedSequence;
     }
 
-    /** Copies what is live of the next batches to the head of the log; how many bytes were gone through. */
-    private long move(Segment oldest, long budget) throws IOException {
-        long begin = cursor;
+    /** Appends the live records of the next batches to the end of the log; returns how many bytes were scanned. */
+    private long copyLiveRecords(Segment oldest, long budget) throws IOException {
+        long begin = cleaningOffset;
         try {
-            Batch copy = next(oldest, budget);
+            Batch copy = nextLiveRecords(oldest, budget);
             if (!copy.isEmpty()) {
                 append(copy);
-                copied += copy.size();
+                copiedBytes += copy.size();
             }
-            return cursor - begin;
+            return cleaningOffset - begin;
         } catch (IOException e) {
-            // Guards what could not be copied: it is gone through again.
-            cursor = begin;
+            // What could not be copied is scanned again; otherwise it would be deleted with the segment.
+            cleaningOffset = begin;
             throw e;
         }
     }
 
-    private Batch next(Segment oldest, long budget) throws IOException {
-        long begin = cursor;
+    /** Scans batches from the cleaning offset on, at least one, and collects their live records. */
+    private Batch nextLiveRecords(Segment oldest, long budget) throws IOException {
+        long begin = cleaningOffset;
         Batch copy = new Batch();
-        while (cursor < oldest.size && (cursor == begin || cursor - begin < budget)) {
-            ByteBuffer head = ByteBuffer.allocate(Batch.HEAD);
-            int length = oldest.file.read(cursor, head) < Batch.HEAD ? 0 : Batch.HEAD + head.getInt(0);
-            if (length <= Batch.HEAD || length > oldest.size - cursor) {
-                cursor = resume(oldest);
+        while (cleaningOffset < oldest.size && (cleaningOffset == begin || cleaningOffset - begin < budget)) {
+            ByteBuffer head = ByteBuffer.allocate(Batch.FRAME_HEADER_BYTES);
+            int length = oldest.file.read(cleaningOffset, head) < Batch.FRAME_HEADER_BYTES ? 0 : Batch.FRAME_HEADER_BYTES + head.getInt(0);
+            if (length <= Batch.FRAME_HEADER_BYTES || length > oldest.size - cleaningOffset) {
+                cleaningOffset = nextFrameOffset(oldest);
                 continue;
             }
             ByteBuffer frame = ByteBuffer.allocate(length);
-            oldest.file.read(cursor, frame);
-            if (Batch.soundAt(frame.array(), 0, length, salt) == 0) {
-                cursor = resume(oldest);
+            oldest.file.read(cleaningOffset, frame);
+            if (Batch.validFrameLength(frame.array(), 0, length, salt) == 0) {
+                cleaningOffset = nextFrameOffset(oldest);
                 continue;
             }
             for (Batch.Entry entry : Batch.entries(frame.array(), 0, length)) {
-                Place place = index.get(entry.key());
-                if (entry.type() == Batch.PUT && place != null && place.segment == oldest && place.at == cursor + entry.at()) {
+                RecordLocation place = index.get(entry.key());
+                if (entry.type() == Batch.PUT && place != null && place.segment == oldest && place.offset == cleaningOffset + entry.offset()) {
                     copy.put(entry.key(), entry.value());
                 }
             }
-            cursor += length;
+            cleaningOffset += length;
         }
         return copy;
     }
 
-    /** Behind bytes that can't be read: at the first place after them that the index points into, or the end. */
-    private long resume(Segment oldest) throws IOException {
-        byte[] rest = new byte[Math.toIntExact(oldest.size - cursor)];
-        oldest.file.read(cursor, ByteBuffer.wrap(rest));
-        for (int at = 1; at + Batch.HEAD < rest.length; at++) {
-            if (Batch.soundAt(rest, at, rest.length, salt) > 0) {
-                return cursor + at;
+    /** Where to go on after bytes that can't be read: offset of the next valid frame, or the end of the segment. */
+    private long nextFrameOffset(Segment oldest) throws IOException {
+        byte[] rest = new byte[Math.toIntExact(oldest.size - cleaningOffset)];
+        oldest.file.read(cleaningOffset, ByteBuffer.wrap(rest));
+        for (int at = 1; at + Batch.FRAME_HEADER_BYTES < rest.length; at++) {
+            if (Batch.validFrameLength(rest, at, rest.length, salt) > 0) {
+                return cleaningOffset + at;
             }
         }
         return oldest.size;
     }
 
-    private void drop(Segment oldest) throws IOException {
-        if (oldest.places > 0) {
-            // Damage since it was written: what can't be read any more is told, and nothing is made up in its place.
-            holes.add(new DamagedRange(name(oldest.number), FILE_HEAD, oldest.size - FILE_HEAD, oldest.places));
+    private void deleteOldest(Segment oldest) throws IOException {
+        if (oldest.liveRecords > 0) {
+            // The segment was damaged after it was written: its unreadable records are reported as lost, and their keys have no value any more.
+            damagedRanges.add(new DamagedRange(fileName(oldest.number), SEGMENT_HEADER_BYTES, oldest.size - SEGMENT_HEADER_BYTES, oldest.liveRecords));
             index.entrySet().removeIf(entry -> {
                 boolean lost = entry.getValue().segment == oldest;
-                live -= lost ? entry.getValue().length : 0;
+                liveBytes -= lost ? entry.getValue().length : 0;
                 return lost;
             });
         }
-        // Guards the order of deletions: the next one waits until this one will last. An older file that comes back alone would
-        // bring back what a younger one deletes.
-        dropped = true;
-        droppedAt = syncs;
-        named = true;
-        disk.delete(name(oldest.number));
+        // The next deletion waits until this one is forced. If an older file came back after a loss of power and a younger one did
+        // not, records would come back that the younger one deletes.
+        deletionUnforced = true;
+        deletionOrdinal = nextSyncOrdinal;
+        directoryChanged = true;
+        disk.delete(fileName(oldest.number));
         oldest.file.close();
         segments.remove(0);
-        used -= steps(oldest.size);
-        goneThrough = -1;
-        cursor = FILE_HEAD;
+        usedBytes -= roundUpToBlocks(oldest.size);
+        scannedSequence = -1;
+        cleaningOffset = SEGMENT_HEADER_BYTES;
     }
 
     // ---- Snapshots ----
 
-    /** A file and how much of it belongs to the snapshot. */
-    public record Part(String name, long length) { }
+    /** A file, and how many of its bytes belong to the snapshot. */
+    public record SnapshotPart(String name, long length) { }
 
-    /** The store as it is now; its files stay until {@link #release}, and only grow behind their lengths. */
-    public List<Part> snapshot() {
-        pins++;
-        return segments.stream().map(segment -> new Part(name(segment.number), segment.size)).toList();
+    /** The files of the store as it is now. Until {@link #releaseSnapshot} none is deleted, and they only grow beyond these lengths. */
+    public List<SnapshotPart> snapshot() {
+        openSnapshots++;
+        return segments.stream().map(segment -> new SnapshotPart(fileName(segment.number), segment.size)).toList();
     }
 
-    /** A snapshot has been copied. */
-    public void release() {
-        pins--;
+    /** Allows cleaning again, once the snapshot has been copied. */
+    public void releaseSnapshot() {
+        openSnapshots--;
     }
 
     @Override public void close() throws IOException {
--- a/store/src/test/java/wrenreach/store/ModelTest.java
+++ b/store/src/test/java/wrenreach/store/ModelTest.java
@@ -15,11 +15,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The store against a plain map: random steps and crashes, cut down by jqwik where they differ. */
+/** Compares the store with a plain map over random steps and crashes; jqwik shrinks the steps where they differ. */
 class ModelTest {
     private static final long LIMIT = 30_000;
 
-    /** One step. CRASH: power is lost after so many further operations of the disk; SYNC: all is forced. */
+    /** One step. CRASH: power is lost after some more operations of the disk, derived from the size; SYNC: everything is forced. */
     record Step(What what, int key, int size) {
         enum What { PUT, DELETE, BOTH, REOPEN, CRASH, SYNC }
     }
@@ -30,12 +30,12 @@
         return one.list().ofMinSize(1).ofMaxSize(150);
     }
 
-    @Property(tries = 400, seed = "20261201") void theStoreIsAlwaysOneOfTheStatesThatWerePromised(@ForAll("steps") List<Step> steps,
+    @Property(tries = 400, seed = "20261201") void contentIsOneOfTheStatesSinceTheLastForce(@ForAll("steps") List<Step> steps,
             @ForAll boolean sync) throws IOException {
         MemoryDisk disk = new MemoryDisk();
         Store store = Store.open(disk, LIMIT, sync, 3);
         Map<String, String> model = new TreeMap<>();
-        // The states since the last promise; a crash leaves one of them.
+        // The states since the last point that is sure to be durable; a crash leaves one of them.
         List<Map<String, String>> states = new ArrayList<>(List.of(Map.of()));
         for (Step step : steps) {
             try {
@@ -57,28 +57,28 @@
                         states = new ArrayList<>(List.of(model));
                     }
                     case REOPEN -> {
-                        store = reopened(disk, sync);
+                        store = reopen(disk, sync);
                         states = new ArrayList<>(List.of(model));
                     }
-                    default -> disk.lostAt = Math.min(disk.lostAt, disk.operations + 1 + step.size % 12);
+                    default -> disk.powerLostAt = Math.min(disk.powerLostAt, disk.operations + 1 + step.size % 12);
                 }
             } catch (Store.Full e) {
-                // Refused whole: nothing of it is there.
+                // The batch was refused as a whole: nothing of it was written.
                 states.remove(states.size() - 1);
-            } catch (MemoryDisk.Lost e) {
-                disk = disk.after(sync ? new java.util.SplittableRandom(step.size) : null);
-                store = reopened(disk, sync);
+            } catch (MemoryDisk.PowerLost e) {
+                disk = disk.afterRestart(sync ? new java.util.SplittableRandom(step.size) : null);
+                store = reopen(disk, sync);
                 Map<String, String> found = content(store);
                 assertThat(states).contains(found);
                 model = found;
                 states = new ArrayList<>(List.of(found));
             }
-            assertThat(disk.used()).isLessThanOrEqualTo(LIMIT);
+            assertThat(disk.usedBytes()).isLessThanOrEqualTo(LIMIT);
             assertThat(content(store)).isEqualTo(model);
         }
     }
 
-    private static Store reopened(MemoryDisk disk, boolean sync) throws IOException {
+    private static Store reopen(MemoryDisk disk, boolean sync) throws IOException {
         return Store.open(disk, LIMIT, sync, 3);
     }
 
