--- a/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreCommand.java
@@ -134,7 +134,7 @@
             if (store.recovered().truncatedBytes() > 0) {
                 out.println("a last write of " + store.recovered().truncatedBytes() + " bytes was never finished; the next start cuts it off");
             }
-            store.recovered().damagedRanges().forEach(hole -> out.println("damaged: " + hole.describe()));
+            store.recovered().damagedRanges().forEach(range -> out.println("damaged: " + range.describe()));
             return store.recovered().damagedRanges().isEmpty() ? EXIT_SOUND : EXIT_DAMAGED;
         }
     }
@@ -173,7 +173,7 @@
             }
             Files.createDirectories(fresh);
             int kept = 0;
-            int holes;
+            int damagedRanges;
             try (Store from = Store.openReadOnly(new FolderDisk(folder));
                     Store to = Store.open(new FolderDisk(fresh), MAX_STORE_BYTES, true, new java.security.SecureRandom().nextInt())) {
                 int[] count = {0};
@@ -187,11 +187,11 @@
                 });
                 to.sync().force();
                 kept = count[0];
-                holes = from.recovered().damagedRanges().size();
+                damagedRanges = from.recovered().damagedRanges().size();
             }
             Files.move(folder, old);
             Files.move(fresh, folder);
-            out.println(kept + " keys kept, " + holes + " holes; the files as they were are in " + copy);
+            out.println(kept + " keys kept, " + damagedRanges + " holes; the files as they were are in " + copy);
         }
         try (Stream<Path> files = Files.list(old)) {
             for (Path file : files.toList()) {
--- a/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
+++ b/ledger/src/main/java/wrenreach/ledger/StoreLedger.java
@@ -230,10 +230,10 @@
         }
         // Each damaged range counts only once: it says nothing of mails that were accepted after it was found.
         Set<String> lostRanges = new TreeSet<>();
-        found.damagedRanges().stream().filter(hole -> hole.lostBatches() > 0).forEach(hole -> lostRanges.add(DAMAGED_RANGE + hole.file() + "@" + hole.offset()));
+        found.damagedRanges().stream().filter(range -> range.lostBatches() > 0).forEach(range -> lostRanges.add(DAMAGED_RANGE + range.file() + "@" + range.offset()));
         boolean damaged = !handledRanges.containsAll(lostRanges);
-        lostRanges.stream().filter(hole -> !handledRanges.contains(hole)).forEach(hole -> pending.put(hole, new byte[0]));
-        handledRanges.stream().filter(hole -> !lostRanges.contains(hole)).forEach(pending::delete);
+        lostRanges.stream().filter(range -> !handledRanges.contains(range)).forEach(range -> pending.put(range, new byte[0]));
+        handledRanges.stream().filter(range -> !lostRanges.contains(range)).forEach(pending::delete);
         byOrder.forEach((at, held) -> {
             lastAcceptOrder = at;
             held.attempts.sort((a, b) -> Integer.compare(a.number(), b.number()));
@@ -249,8 +249,8 @@
         if (found.truncatedBytes() > 0) {
             LogEvent.log(LOG, Level.WARNING, "store.torn", "store: cut off a torn tail of {bytes} bytes", "bytes", found.truncatedBytes());
         }
-        found.damagedRanges().forEach(hole -> LogEvent.log(LOG, Level.ERROR, "store.damaged",
-                "store: {hole}; owed mails are taken to have gone out", "hole", hole.describe()));
+        found.damagedRanges().forEach(range -> LogEvent.log(LOG, Level.ERROR, "store.damaged",
+                "store: {hole}; owed mails are taken to have gone out", "hole", range.describe()));
     }
 
     private static void apply(Entry entry, Map<String, HeldMail> byId, String key, List<String> orphans) {
