--- a/lab/src/main/java/wrenreach/lab/Baseline.java
+++ b/lab/src/main/java/wrenreach/lab/Baseline.java
@@ -22,23 +22,30 @@
 import wrenreach.state.Route;
 
 /**
- * A plain dispatcher to compare with, in the lab only: each mail goes out as it comes, to the endpoints of its
- * destination in turn; what fails goes again after a fixed rest, if at all. It has no pace, no order, keeps no wait, and a
- * breaker at most as the source has it. What may have run goes again only where mails may.
+ * A simple dispatcher for comparison, in the lab only: it sends each mail as it comes, to the endpoints of its destination in
+ * round-robin order, and retries failures after a fixed delay, if at all. It has no rate limiting and no ordering, ignores
+ * retry-after, and has at most a circuit breaker as in the original source. A mail that may have run is retried only if its class
+ * is redeliverable. Times are in microseconds.
  */
 final class Baseline implements Dispatcher {
+    /** A mail that is to be sent again at this instant. */
     private record Retry(long at, Mail mail) { }
 
-    /** The source's figures: failures in a row that open, successes in a row that close. */
-    private static final int FAILURES_TO_OPEN = 8, SUCCESSES_TO_CLOSE = 2;
+    /** Consecutive failures that open the circuit breaker, as in the original source. */
+    private static final int FAILURES_TO_OPEN = 8;
+    /** Consecutive successful trials that close it, as in the original source. */
+    private static final int SUCCESSES_TO_CLOSE = 2;
 
     private final Settings settings;
-    /** How long an open breaker rests, in microseconds; 0: there is none. */
+    /** How long a breaker stays open, in microseconds; 0: there is no breaker. */
     private final long breakerCoolDown;
+    /** Attempts that a mail may have in all. */
     private final int maxAttempts;
+    /** The delay before a retry, in microseconds. */
     private final long retryDelay;
     private final PriorityQueue<Retry> scheduledRetries = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
             : Long.compare(a.mail.sequence, b.mail.sequence));
+    /** Mails that may be sent now. */
     private final List<Mail> pending = new ArrayList<>();
     private List<Action> actions = new ArrayList<>();
     private long sequence;
@@ -46,44 +53,45 @@
     private long wakeAt = Long.MIN_VALUE;
     private int inFlight;
 
-    /** tries: connects that a mail may have; rest: microseconds between them; breakerRest: 0 without a breaker. */
-    private Baseline(Settings settings, int tries, long rest, long breakerRest) {
-        this.breakerCoolDown = breakerRest;
+    /** maxAttempts: attempts that a mail may have; retryDelay: microseconds between them; breakerCoolDown: 0 without a breaker. */
+    private Baseline(Settings settings, int maxAttempts, long retryDelay, long breakerCoolDown) {
+        this.breakerCoolDown = breakerCoolDown;
         this.settings = settings;
-        this.maxAttempts = tries;
-        this.retryDelay = rest;
+        this.maxAttempts = maxAttempts;
+        this.retryDelay = retryDelay;
     }
 
-    /** One try a mail. */
+    /** One attempt a mail, no retries. */
     static Baseline singleAttempt(Settings settings) {
         return new Baseline(settings, 1, 0, 0);
     }
 
-    /** As many tries as the settings allow, a quarter of the target delay apart. */
+    /** As many attempts as the settings allow, a quarter of the first class's target delay apart. */
     static Baseline fixedDelayRetries(Settings settings) {
         return new Baseline(settings, settings.attemptLimit(), settings.classes().get(0).targetDelay() / 4, 0);
     }
 
     /**
-     * The source's breaker as it stands there, over the retries: eight failures in a row open it, it rests, then lets one
-     * probe at a time through until two in a row succeed. Meanwhile mails wait. Its rest of 300 s would outlast every mail;
-     * here it is a quarter of the first class's lifetime.
+     * The retries of {@link #fixedDelayRetries} with the original source's circuit breaker: eight consecutive failures open it, and
+     * after a cool-down it lets one trial at a time through until two in a row succeed. Meanwhile mails wait. The source's
+     * cool-down of 300 s would outlast every mail; here it is a quarter of the first class's lifetime.
      */
     static Baseline withCircuitBreaker(Settings settings) {
         return new Baseline(settings, settings.attemptLimit(), settings.classes().get(0).targetDelay() / 4,
                 settings.classes().get(0).lifetime() / 4);
     }
 
-    /** By the name that tables show; the module itself is among them. */
+    /** All dispatchers to compare, by the name that tables show; the product's own is among them. */
     static Map<String, Function<Settings, Dispatcher>> byName() {
-        Map<String, Function<Settings, Dispatcher>> all = new LinkedHashMap<>();
-        all.put("wrenreach", DeliveryDispatcher::new);
-        all.put("one try", Baseline::singleAttempt);
-        all.put("fixed rests", Baseline::fixedDelayRetries);
-        all.put("plain breaker", Baseline::withCircuitBreaker);
-        return all;
+        Map<String, Function<Settings, Dispatcher>> dispatchers = new LinkedHashMap<>();
+        dispatchers.put("wrenreach", DeliveryDispatcher::new);
+        dispatchers.put("one try", Baseline::singleAttempt);
+        dispatchers.put("fixed rests", Baseline::fixedDelayRetries);
+        dispatchers.put("plain breaker", Baseline::withCircuitBreaker);
+        return dispatchers;
     }
 
+    /** Whether the breaker lets a mail through now; an open breaker becomes half-open when its cool-down is over. */
     private boolean breakerAllows(CircuitBreakerState breaker, long now) {
         if (breaker.phase == CircuitBreakerState.Phase.OPEN && now >= breaker.openUntil) {
             breaker.phase = CircuitBreakerState.Phase.HALF_OPEN;
@@ -93,24 +101,27 @@
                 || breaker.phase == CircuitBreakerState.Phase.HALF_OPEN && breaker.trial == null;
     }
 
-    /** What a connect's end means to its breaker: told waits and what never came to be a call mean nothing. */
-    private void updateBreaker(DeliveryAttempt connect, Outcome outcome, long now) {
-        CircuitBreakerState breaker = connect.endpoint.route.breaker;
-        boolean trial = breaker.trial == connect;
+    /**
+     * Tells the breaker of an attempt's end. Rejections with a retry-after, and attempts that were cancelled or never became a call
+     * on the wire, count neither as failures nor as successes.
+     */
+    private void updateBreaker(DeliveryAttempt attempt, Outcome outcome, long now) {
+        CircuitBreakerState breaker = attempt.endpoint.route.breaker;
+        boolean trial = breaker.trial == attempt;
         breaker.trial = trial ? null : breaker.trial;
-        boolean ok = outcome instanceof Outcome.Delivered;
+        boolean delivered = outcome instanceof Outcome.Delivered;
         if (breakerCoolDown == 0 || outcome instanceof Outcome.Rejected || outcome instanceof Outcome.Cancelled
                 || outcome instanceof Outcome.NotSent || outcome instanceof Outcome.LocalFault) {
             return;
         }
         if (breaker.phase == CircuitBreakerState.Phase.HALF_OPEN) {
-            if (!ok) {
+            if (!delivered) {
                 openBreaker(breaker, now);
             } else if (++breaker.successfulTrials >= SUCCESSES_TO_CLOSE) {
                 breaker.phase = CircuitBreakerState.Phase.CLOSED;
                 breaker.consecutiveFailures = 0;
             }
-        } else if (ok) {
+        } else if (delivered) {
             breaker.consecutiveFailures = 0;
         } else if (breaker.phase == CircuitBreakerState.Phase.CLOSED && ++breaker.consecutiveFailures >= FAILURES_TO_OPEN) {
             openBreaker(breaker, now);
@@ -129,20 +140,20 @@
         return takeActions();
     }
 
-    @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
+    @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] report, boolean done, long now) {
         inFlight--;
-        connect.open = false;
-        connect.endpoint.inFlight--;
-        connect.neverRan = outcome.neverRan();
-        updateBreaker(connect, outcome, now);
-        Mail mail = connect.mail;
+        attempt.open = false;
+        attempt.endpoint.inFlight--;
+        attempt.neverRan = outcome.neverRan();
+        updateBreaker(attempt, outcome, now);
+        Mail mail = attempt.mail;
         if (done || mail.finished) {
             mail.finished = true;
             return takeActions();
         }
-        boolean mayGo = outcome.neverRan()
+        boolean mayRetry = outcome.neverRan()
                 || settings.classes().get(mail.queueClass).effect() == Settings.Effect.REDELIVERABLE;
-        if (mayGo && mail.attempts.size() < maxAttempts && now + retryDelay < mail.deadline) {
+        if (mayRetry && mail.attempts.size() < maxAttempts && now + retryDelay < mail.deadline) {
             scheduledRetries.add(new Retry(now + retryDelay, mail));
         } else {
             finish(mail, outcome.neverRan());
@@ -150,11 +161,12 @@
         return takeActions();
     }
 
-    private void finish(Mail mail, boolean harmless) {
+    /** Ends a mail: deferred if no attempt of it may have run (neverRan tells it of the last one), else bounced. */
+    private void finish(Mail mail, boolean neverRan) {
         if (!mail.finished) {
             mail.finished = true;
-            boolean ran = mail.attempts.stream().anyMatch(c -> !c.neverRan);
-            actions.add(harmless && !ran ? new Action.Defer(mail, 0) : new Action.Bounce(mail));
+            boolean ran = mail.attempts.stream().anyMatch(attempt -> !attempt.neverRan);
+            actions.add(neverRan && !ran ? new Action.Defer(mail, 0) : new Action.Bounce(mail));
         }
     }
 
@@ -163,24 +175,24 @@
         return takeActions();
     }
 
-    @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-        for (EndpointUpdate.Entry entry : listing.entries()) {
-            Endpoint e = entry.endpoint();
+    @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
+        for (EndpointUpdate.Entry entry : update.entries()) {
+            Endpoint endpoint = entry.endpoint();
             if (entry.state() == EndpointUpdate.State.GONE) {
-                e.ready = e.listed = false;
-                e.destination.endpoints.remove(e);
+                endpoint.ready = endpoint.listed = false;
+                endpoint.destination.endpoints.remove(endpoint);
                 continue;
             }
-            if (!e.listed) {
-                e.listed = true;
-                e.destination.listed = true;
-                e.destination.endpoints.add(e);
-                if (e.destination.routes.isEmpty()) {
-                    e.destination.routes.add(new Route("destination " + e.destination.number, e.kind, 1, 1, 1));
+            if (!endpoint.listed) {
+                endpoint.listed = true;
+                endpoint.destination.listed = true;
+                endpoint.destination.endpoints.add(endpoint);
+                if (endpoint.destination.routes.isEmpty()) {
+                    endpoint.destination.routes.add(new Route("destination " + endpoint.destination.number, endpoint.kind, 1, 1, 1));
                 }
-                e.route = e.destination.routes.get(0);
+                endpoint.route = endpoint.destination.routes.get(0);
             }
-            e.ready = entry.state() == EndpointUpdate.State.READY;
+            endpoint.ready = entry.state() == EndpointUpdate.State.READY;
         }
         return takeActions();
     }
@@ -195,14 +207,14 @@
                 mails.remove();
                 finish(mail, true);
             } else if (inFlight < settings.inFlightLimit()) {
-                Endpoint to = chooseEndpoint(mail.destination, now);
-                if (to != null) {
+                Endpoint endpoint = chooseEndpoint(mail.destination, now);
+                if (endpoint != null) {
                     mails.remove();
-                    send(mail, to, now);
+                    send(mail, endpoint, now);
                 }
             }
         }
-        // One wake at a time: each brings a turn, and each turn asks here.
+        // One timer at a time is enough: each wake-up leads to an iteration of the event loop, which calls this method again.
         if (wakeAt <= now && !(pending.isEmpty() && scheduledRetries.isEmpty())) {
             wakeAt = now + settings.tick();
             actions.add(new Action.WakeUp(settings.tick()));
@@ -210,23 +222,24 @@
         return takeActions();
     }
 
-    private Endpoint chooseEndpoint(Destination to, long now) {
-        if (!to.routes.isEmpty() && !breakerAllows(to.routes.get(0).breaker, now)) {
+    /** The next ready endpoint in round-robin order; null if there is none or the breaker is open. */
+    private Endpoint chooseEndpoint(Destination destination, long now) {
+        if (!destination.routes.isEmpty() && !breakerAllows(destination.routes.get(0).breaker, now)) {
             return null;
         }
-        List<Endpoint> ready = to.endpoints.stream().filter(e -> e.ready).toList();
+        List<Endpoint> ready = destination.endpoints.stream().filter(endpoint -> endpoint.ready).toList();
         return ready.isEmpty() ? null : ready.get((int) (roundRobinIndex++ % ready.size()));
     }
 
-    private void send(Mail mail, Endpoint to, long now) {
-        long cutAt = Math.min(mail.deadline, now + settings.classes().get(mail.queueClass).targetDelay());
-        DeliveryAttempt connect = new DeliveryAttempt(mail, to, now, cutAt, new Call(now));
-        mail.attempts.add(connect);
-        CircuitBreakerState breaker = to.route.breaker;
-        breaker.trial = breaker.phase == CircuitBreakerState.Phase.HALF_OPEN ? connect : breaker.trial;
+    private void send(Mail mail, Endpoint endpoint, long now) {
+        long timeoutAt = Math.min(mail.deadline, now + settings.classes().get(mail.queueClass).targetDelay());
+        DeliveryAttempt attempt = new DeliveryAttempt(mail, endpoint, now, timeoutAt, new Call(now));
+        mail.attempts.add(attempt);
+        CircuitBreakerState breaker = endpoint.route.breaker;
+        breaker.trial = breaker.phase == CircuitBreakerState.Phase.HALF_OPEN ? attempt : breaker.trial;
         inFlight++;
-        to.inFlight++;
-        actions.add(new Action.Send(connect));
+        endpoint.inFlight++;
+        actions.add(new Action.Send(attempt));
     }
 
     private List<Action> takeActions() {
--- a/lab/src/main/java/wrenreach/lab/BreakerRecorder.java
+++ b/lab/src/main/java/wrenreach/lab/BreakerRecorder.java
@@ -12,37 +12,37 @@
 import wrenreach.state.Mail;
 import wrenreach.state.Route;
 
-/** A module whose breakers are looked at whenever a connect of theirs goes out or ends; it changes nothing. */
+/** A dispatcher that delegates, and records a fact when a circuit breaker's phase differs after an attempt was sent or has ended. */
 final class BreakerRecorder implements Dispatcher {
     private final Dispatcher delegate;
     private final World world;
     private final String node;
-    /** Those that are not closed. */
+    /** The phases of the breakers that are not closed. */
     private final Map<Route, CircuitBreakerState.Phase> nonClosedPhases = new IdentityHashMap<>();
 
-    BreakerRecorder(Dispatcher module, World world, String node) {
-        this.delegate = module;
+    BreakerRecorder(Dispatcher delegate, World world, String node) {
+        this.delegate = delegate;
         this.world = world;
         this.node = node;
     }
 
-    private List<Action> recordSends(List<Action> answers) {
-        for (Action answer : answers) {
-            if (answer instanceof Action.Send send) {
+    private List<Action> recordSends(List<Action> actions) {
+        for (Action action : actions) {
+            if (action instanceof Action.Send send) {
                 recordPhase(send.attempt().endpoint.route);
             }
         }
-        return answers;
+        return actions;
     }
 
     private void recordPhase(Route route) {
         if (route == null) {
             return;
         }
-        CircuitBreakerState.Phase is = route.breaker.phase;
-        CircuitBreakerState.Phase was = is == CircuitBreakerState.Phase.CLOSED ? nonClosedPhases.remove(route) : nonClosedPhases.put(route, is);
-        if (is != (was == null ? CircuitBreakerState.Phase.CLOSED : was)) {
-            world.record(new Fact.Turned(world.now(), node, route.name, is));
+        CircuitBreakerState.Phase phase = route.breaker.phase;
+        CircuitBreakerState.Phase previous = phase == CircuitBreakerState.Phase.CLOSED ? nonClosedPhases.remove(route) : nonClosedPhases.put(route, phase);
+        if (phase != (previous == null ? CircuitBreakerState.Phase.CLOSED : previous)) {
+            world.record(new Fact.Turned(world.now(), node, route.name, phase));
         }
     }
 
@@ -50,18 +50,18 @@
         return recordSends(delegate.admit(mail, now));
     }
 
-    @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-        List<Action> answers = delegate.attemptEnded(connect, outcome, report, done, now);
-        recordPhase(connect.endpoint.route);
-        return recordSends(answers);
+    @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] report, boolean done, long now) {
+        List<Action> actions = delegate.attemptEnded(attempt, outcome, report, done, now);
+        recordPhase(attempt.endpoint.route);
+        return recordSends(actions);
     }
 
     @Override public List<Action> withdrawn(Mail mail, long now) {
         return recordSends(delegate.withdrawn(mail, now));
     }
 
-    @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-        return recordSends(delegate.endpointsUpdated(listing, now));
+    @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
+        return recordSends(delegate.endpointsUpdated(update, now));
     }
 
     @Override public List<Action> nextActions(long now) {
--- a/lab/src/main/java/wrenreach/lab/DeliveryMetrics.java
+++ b/lab/src/main/java/wrenreach/lab/DeliveryMetrics.java
@@ -12,21 +12,22 @@
 import wrenreach.state.CircuitBreakerState;
 
 /**
- * What came of played days, by mails as their writers know them: a mail handed in again counts once. importance: that of
- * the mails handed in; delivered importance: what of it was worth at its delivery. Delays run from the instant at which the
- * writer had the mail ready, whatever became of those before, to its delivery, in microseconds.
+ * The results of played days, counted by mails as their writers know them: a mail that is submitted again counts once.
+ * importance: the sum over the submitted mails; deliveredImportance: what of it they were worth at their delivery. A delay runs
+ * from the first submission of a mail, whatever became of that, to its delivery, in microseconds.
  */
 record DeliveryMetrics(int mails, int delivered, int inTime, double importance, double deliveredImportance, int calls, int violations,
                Histogram delays, List<BreakerCounts> breakerHistory) {
-    /** How many breakers were not closed from that instant on, in nanoseconds since the world's begin. */
+    /** How many circuit breakers were open and half-open from this instant on, in nanoseconds since the world's begin. */
     record BreakerCounts(long at, int open, int halfOpen) { }
 
-    /** An hour, to a thousandth. */
+    /** An empty histogram of delays in microseconds, up to an hour, with a precision of a thousandth. */
     static Histogram newDelayHistogram() {
         return new Histogram(3_600_000_000L, 3);
     }
 
-    static DeliveryMetrics of(List<Fact> facts, Settings settings, int broken) {
+    /** The metrics of one day; violations: how many rule violations it had. */
+    static DeliveryMetrics of(List<Fact> facts, Settings settings, int violations) {
         Map<String, Fact.HandedIn> first = new HashMap<>();
         Map<String, Fact.HandedIn> mailOf = new HashMap<>();
         Map<String, CircuitBreakerState.Phase> phases = new HashMap<>();
@@ -62,21 +63,21 @@
                 breakers.add(new BreakerCounts(turned.at(), open, halfOpen));
             }
         }
-        return new DeliveryMetrics(first.size(), done.size(), inTime, importance, worth, calls, broken, delays, breakers);
+        return new DeliveryMetrics(first.size(), done.size(), inTime, importance, worth, calls, violations, delays, breakers);
     }
 
-    private static int oneIfEqual(CircuitBreakerState.Phase is, CircuitBreakerState.Phase asked) {
-        return is == asked ? 1 : 0;
+    private static int oneIfEqual(CircuitBreakerState.Phase phase, CircuitBreakerState.Phase expected) {
+        return phase == expected ? 1 : 0;
     }
 
-    /** What a mail is worth that is delivered so late: its importance up to the target, then evenly less up to its lifetime. */
-    static double valueAtDelivery(Settings.QueueClass c, long delay) {
-        double late = c.lifetime() == c.targetDelay() ? 1 : Math.max(0, delay - c.targetDelay())
-                / (double) (c.lifetime() - c.targetDelay());
-        return c.importance() * (1 - (1 - c.lateImportanceShare()) * Math.min(1, late));
+    /** A mail's worth when delivered after this delay: its importance up to the target delay, then falling linearly up to its lifetime. */
+    static double valueAtDelivery(Settings.QueueClass queueClass, long delay) {
+        double late = queueClass.lifetime() == queueClass.targetDelay() ? 1 : Math.max(0, delay - queueClass.targetDelay())
+                / (double) (queueClass.lifetime() - queueClass.targetDelay());
+        return queueClass.importance() * (1 - (1 - queueClass.lateImportanceShare()) * Math.min(1, late));
     }
 
-    /** Several days as one; the breakers are those of the first. */
+    /** The metrics of several days as one; the breaker history is that of the first day. */
     static DeliveryMetrics merge(List<DeliveryMetrics> days) {
         Histogram delays = newDelayHistogram();
         days.forEach(day -> delays.add(day.delays));
@@ -94,7 +95,7 @@
         return inTime / (double) Math.max(1, mails);
     }
 
-    /** Of the importance handed in, what was delivered. */
+    /** The delivered part of the importance submitted, from 0 to 1. */
     double importanceShare() {
         return importance == 0 ? 0 : deliveredImportance / importance;
     }
@@ -103,18 +104,18 @@
         return calls / (double) Math.max(1, mails);
     }
 
-    /** A percentile of the delays in milliseconds. */
+    /** A percentile (0 to 100) of the delays, in milliseconds. */
     double delayPercentileMs(double percentile) {
         return delays.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    /** One line of a table. */
+    /** One row of the table that is printed after a run. */
     String tableRow(String name) {
         return String.format(Locale.ROOT, "%-26s %7d %9.1f%% %9.1f%% %9.1f%% %9.1f %9.1f %9.2f %7d", name, mails,
                 100 * deliveredShare(), 100 * inTimeShare(), 100 * importanceShare(), delayPercentileMs(50), delayPercentileMs(99), callsPerMail(), violations);
     }
 
-    /** The head of such a table. */
+    /** The header of that table. */
     static String tableHeader(String kind) {
         return String.format(Locale.ROOT, "%-26s %7s %10s %10s %10s %9s %9s %9s %7s", kind, "mails", "delivered", "in time",
                 "importance", "p50 ms", "p99 ms", "calls", "breaks");
--- a/lab/src/main/java/wrenreach/lab/Experiment.java
+++ b/lab/src/main/java/wrenreach/lab/Experiment.java
@@ -25,15 +25,15 @@
 import wrenreach.operator.Section;
 import wrenreach.operator.Unit;
 
-/** A file of an experiment: a fleet, its traffic, what goes wrong, a figure that is swept, seeds and dispatchers. */
+/** An experiment as its file describes it: a fleet, its traffic, faults, the parameter that is swept, seeds and dispatchers. */
 record Experiment(About about, Scenario scenario, Sweep sweep, Setup setup) {
-    /** [experiment]. */
+    /** The file's table [experiment]. */
     record About(@Key(about = "what the experiment shows, in one line") String about,
                  @Key(about = "days a point, each with a seed of its own", byDefault = "5", least = "1", most = "10000") int seeds,
                  @Key(about = "the first seed", byDefault = "1", least = "0") long firstSeed,
                  @Key(about = "what decides in the nodes", byDefault = "wrenreach") List<String> dispatchers) { }
 
-    /** [fleet]. */
+    /** The file's table [fleet]. */
     record Fleet(@Key(about = "delivery nodes", byDefault = "3", least = "1", most = "2000") int nodes,
                  @Key(about = "receivers that mails are for", byDefault = "3", least = "1", most = "2000") int destinations,
                  @Key(about = "endpoints of each", byDefault = "1", least = "1", most = "64") int endpoints,
@@ -46,12 +46,16 @@
                  @Key(about = "the port of their own addresses at which nodes take datagrams from each other; 0: they don't",
                          byDefault = "0", least = "0", most = "65535") int datagrams) { }
 
-    /** [operator]. */
+    /** The file's table [operator]. */
     record Operator(@Key(about = "the text of the operator's file; {peers} stands for where the other nodes take datagrams") String file,
                     @Key(about = "the nodes that have it; none: all", byDefault = "") List<String> nodes) { }
 
-    /** What nodes are made of and what is switched on in them. builds: by the names of nodes. */
+    /**
+     * The builds of the nodes and the operator's file that they get. builds: by node name, a path or class; datagrams: the port at
+     * which nodes take datagrams from each other, 0: none.
+     */
     record Setup(Operator operator, Map<String, String> builds, int datagrams) {
+        /** Nodes of this build without an operator's file. */
         static final Setup NONE = new Setup(new Operator("", List.of()), Map.of(), 0);
 
         /** The build that a node's process is started from. */
@@ -63,19 +67,19 @@
             return !operator.file.isEmpty() && (operator.nodes.isEmpty() || operator.nodes.contains(node));
         }
 
-        /** The text of a process's operator's file; empty: it has none. */
+        /** The text of the operator's file for a node's process, with {peers} filled in; empty: it has none. */
         String operator(String node, Scenario day, Relays relays) {
             String text = hasOperatorFile(node) ? operator.file : "";
             if (datagrams > 0) {
-                int own = Integer.parseInt(node.substring(1));
-                text = text.replace("{peers}", IntStream.range(0, day.nodes()).filter(other -> other != own)
-                        .mapToObj(other -> "\"" + Addresses.format(relays.peerAddress(own, other, datagrams)) + "\"")
+                int ownIndex = Integer.parseInt(node.substring(1));
+                text = text.replace("{peers}", IntStream.range(0, day.nodes()).filter(other -> other != ownIndex)
+                        .mapToObj(other -> "\"" + Addresses.format(relays.peerAddress(ownIndex, other, datagrams)) + "\"")
                         .collect(Collectors.joining(", ")));
             }
             return day.usesStore() ? text + "\n[store]\ndurability = \"sync\"\n" : text;
         }
 
-        /** What is switched on in a node in memory. */
+        /** The operator's file of a node in memory. */
         OperatorFile inMemoryOperatorFile(String node) {
             try {
                 return hasOperatorFile(node) ? parse() : OperatorFile.none();
@@ -89,7 +93,7 @@
                     virtualTimeSubsystems().stream().<Section<?>>map(Subsystem::section).toList());
         }
 
-        /** All subsystems that can be played in virtual time, in the order of their names. */
+        /** All subsystems that can run in virtual time, in the order of their names. */
         static List<Subsystem<?>> virtualTimeSubsystems() {
             List<Subsystem<?>> all = new ArrayList<>();
             ServiceLoader.load(Subsystem.class, Setup.class.getClassLoader()).forEach(one -> {
@@ -101,7 +105,7 @@
             return all;
         }
 
-        /** Why it can't be played so; empty: it can. */
+        /** Why the setup can't be played, in memory or (real) with processes; empty if it can. */
         List<String> objections(boolean real) {
             List<String> all = new ArrayList<>();
             if (!real && !builds.isEmpty()) {
@@ -116,38 +120,38 @@
                 }
             }
             builds.forEach((node, place) -> {
-                String why = ProcessNode.Build.objection(place);
-                if (!why.isEmpty()) {
-                    all.add("builds: " + node + ": " + why);
+                String objection = ProcessNode.Build.objection(place);
+                if (!objection.isEmpty()) {
+                    all.add("builds: " + node + ": " + objection);
                 }
             });
             return all;
         }
     }
 
-    /** Why it can't be played in memory, or by processes where real; empty: it can. */
+    /** Why the experiment can't be played, in memory or (real) with processes; empty if it can. */
     List<String> objections(boolean real) {
         List<String> all = new ArrayList<>(setup.objections(real));
         sweep.values.forEach(value -> all.addAll(scenarioAt(value, 0).objections(real)));
         return all.stream().distinct().toList();
     }
 
-    /** [traffic]. */
+    /** The file's table [traffic]. */
     record Traffic(@Key(about = "mails a second over all nodes", least = "1", most = "1000000") int rate,
                    @Key(about = "for so long mails come", byDefault = "14s", unit = Unit.DURATION, least = "1s", most = "24h")
                    long length,
                    @Key(about = "queue classes: NAME EFFECT importance X target MS lifetime MS share N", byDefault = "")
                    List<String> classes) { }
 
-    /** [faults]. */
+    /** The file's table [faults]. */
     record Schedule(@Key(about = "what goes wrong: KIND WHICH at MS for MS [every MS]", byDefault = "") List<String> schedule) { }
 
-    /** [sweep]. */
+    /** The file's table [sweep]. */
     record Sweep(@Key(about = "what is swept; size multiplies nodes, destinations and rate", oneOf = {"size", "nodes",
             "destinations", "endpoints", "zones", "ledger", "rate", "length"}) String figure,
                  @Key(about = "its values, the length in milliseconds") List<Integer> values) { }
 
-    /** An experiment's file can't be used; every fault is a line of the message. */
+    /** An experiment's file is invalid; each of its errors is a line of the message. */
     static final class InvalidExperimentException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -163,8 +167,10 @@
     private static final Section<Schedule> FAULTS = new Section<>("faults", Schedule.class);
     private static final Section<Sweep> SWEEP = new Section<>("sweep", Sweep.class);
     private static final Section<Operator> OPERATOR = new Section<>("operator", Operator.class);
+    /** The sweep that multiplies nodes, destinations and rate by its value. */
     private static final String SIZE = "size";
 
+    /** Reads an experiment's file; reports all its errors at once. */
     static Experiment read(Path file) throws IOException, InvalidExperimentException {
         byte[] bytes = Files.readAllBytes(file);
         String text = new String(bytes, StandardCharsets.UTF_8);
@@ -202,7 +208,7 @@
                 }
             });
         } catch (JsonProcessingException e) {
-            // That the file is no TOML has been told above.
+            // OperatorFile.parse has already reported that the file is no valid TOML.
             throw new InvalidExperimentException(file, faults);
         }
         if (!faults.isEmpty()) {
@@ -231,12 +237,12 @@
         return read.section(TRAFFIC).map(traffic -> (int) (traffic.length / 1000)).orElse(Scenario.Figure.LENGTH.defaultValue);
     }
 
-    /** Each text of a list by itself, so that one fault does not hide the next. */
-    private static void forEachEntry(JsonNode tree, String text, String table, String key, List<FileProblem> faults, Consumer<String> takes) {
+    /** Parses each text of a list by itself, so that one error does not hide the next. */
+    private static void forEachEntry(JsonNode tree, String text, String table, String key, List<FileProblem> faults, Consumer<String> parser) {
         for (JsonNode one : tree.path(table).path(key)) {
             try {
                 if (one.isTextual()) {
-                    takes.accept(one.textValue());
+                    parser.accept(one.textValue());
                 }
             } catch (IllegalArgumentException e) {
                 faults.add(new FileProblem(lineOf(text, one.textValue()), table + "." + key, e.getMessage()));
@@ -244,14 +250,15 @@
         }
     }
 
+    /** The number of the first line that holds this text, from 1; 0 if there is none. */
     private static int lineOf(String text, String part) {
         int at = text.indexOf(part);
         return at < 0 ? 0 : 1 + (int) text.substring(0, at).chars().filter(c -> c == '\n').count();
     }
 
-    /** The day at one value of the sweep, with its n-th seed. */
-    Scenario scenarioAt(int value, int n) {
-        Scenario day = scenario.withSeed(about.firstSeed + n);
+    /** The day at one value of the sweep with its n-th seed, from 0. */
+    Scenario scenarioAt(int value, int seedIndex) {
+        Scenario day = scenario.withSeed(about.firstSeed + seedIndex);
         if (!sweep.figure.equals(SIZE)) {
             return day.with(Scenario.parseEnum(Scenario.Figure.values(), sweep.figure), value);
         }
--- a/lab/src/main/java/wrenreach/lab/ExperimentRunner.java
+++ b/lab/src/main/java/wrenreach/lab/ExperimentRunner.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.Future;
 import java.util.function.IntConsumer;
 
-/** Plays every day of an experiment, several worlds beside each other; what comes of it does not depend on how many. */
+/** Plays every day of an experiment in virtual time, several in parallel; the results don't depend on how many. */
 final class ExperimentRunner {
     /**
-     * One day that was played. neverCame: the faults whose condition did not come; took, emulated: nanoseconds; print: what
-     * stands for its facts.
+     * The result of one day at one value of the sweep. unmetConditions: the faults whose trigger was never met; fingerprint: a hash of
+     * the day's facts; tookNanos: real time; emulatedNanos: time in the played world.
      */
     record DayResult(int value, String dispatcher, long seed, DeliveryMetrics metrics, Rules.Verdict verdict, List<String> unmetConditions, String fingerprint,
                  long tookNanos, long emulatedNanos) {
@@ -29,21 +29,21 @@
 
     private ExperimentRunner() { }
 
-    /** In the order of values, dispatchers, seeds; done: how many are over. */
+    /** The results in the order of values, dispatchers, seeds; done gets the number of results collected so far. */
     static List<DayResult> play(Experiment experiment, int jobs, IntConsumer done) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(jobs);
         try {
-            List<Future<DayResult>> under = new ArrayList<>();
+            List<Future<DayResult>> pending = new ArrayList<>();
             for (int value : experiment.sweep().values()) {
                 for (String dispatcher : experiment.about().dispatchers()) {
                     for (int n = 0; n < experiment.about().seeds(); n++) {
                         Scenario day = experiment.scenarioAt(value, n);
-                        under.add(pool.submit(() -> play(day, experiment.setup(), value, dispatcher)));
+                        pending.add(pool.submit(() -> play(day, experiment.setup(), value, dispatcher)));
                     }
                 }
             }
             List<DayResult> all = new ArrayList<>();
-            for (Future<DayResult> one : under) {
+            for (Future<DayResult> one : pending) {
                 all.add(one.get());
                 done.accept(all.size());
             }
@@ -65,7 +65,7 @@
                 play.world.factsHash(), took, play.world.now());
     }
 
-    /** What stands for all days together. */
+    /** A hash over the fingerprints of all days, in their order. */
     static String fingerprint(List<DayResult> all) {
         try {
             MessageDigest hash = MessageDigest.getInstance("SHA-256");
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The days of each value and dispatcher as one. */
+    /** The metrics of the days of each value and dispatcher, merged; in the order of the results. */
     static Map<Integer, Map<String, DeliveryMetrics>> mergeDays(List<DayResult> all) {
         Map<Integer, Map<String, List<DeliveryMetrics>>> days = new LinkedHashMap<>();
         all.forEach(trial -> days.computeIfAbsent(trial.value, v -> new LinkedHashMap<>())
--- a/lab/src/main/java/wrenreach/lab/Fact.java
+++ b/lab/src/main/java/wrenreach/lab/Fact.java
@@ -3,72 +3,73 @@
 import java.util.Locale;
 import wrenreach.state.CircuitBreakerState;
 
-/** What happened in a world, as its own parties saw it; at: nanoseconds since its begin. */
+/** An event of a run as its own parties observed it; at: nanoseconds since the world's begin. */
 sealed interface Fact {
     long at();
 
     /**
-     * A client handed in a mail. queueClass: the number of its class; key: that of its order; tag: what stands for its effect;
-     * until: end of its time.
+     * A client submitted a mail. queueClass: the number of its class; key: its order key; tag: identifies its effect, the same
+     * for each submission of it; until: end of its lifetime.
      */
     record HandedIn(long at, String id, String node, int queueClass, int destination, String key, String tag, long until)
             implements Fact { }
 
-    /** What the node answered: OK, BUSY or ERR; or NONE, when the client gave up. */
+    /** The node's reply to a submission: OK, BUSY or ERR; or NONE, when the client gave up waiting. */
     record Answered(long at, String id, String node, String answer) implements Fact { }
 
-    /** A call's first byte came to a receiver. */
+    /** The first byte of a call arrived at a receiver. */
     record Begun(long at, String id, String node, String receiver) implements Fact { }
 
-    /** A call came whole; second: an earlier one of the same mail is still open. */
+    /** A call arrived in full; second: an earlier call of the same mail is still open at the receiver. */
     record Called(long at, String id, String node, String receiver, int destination, boolean second) implements Fact { }
 
-    /** The receiver acted on the mail; tag as handed in; givenUp: the node had closed the connection before it came. */
+    /** The receiver carried out the mail; tag as submitted; givenUp: the node had closed the connection before that. */
     record Ran(long at, String id, String receiver, String tag, boolean givenUp) implements Fact { }
 
-    /** The receiver wrote that the mail is delivered. */
+    /** The receiver wrote the response that the mail is delivered. */
     record Delivered(long at, String id, String receiver) implements Fact { }
 
-    /** The receiver wrote a wait, in nanoseconds. */
+    /** The receiver wrote a retry-after; length in nanoseconds. */
     record ToldWait(long at, String node, int destination, long length) implements Fact { }
 
-    /** The node was told that the receiver drains. */
+    /** The node was told that the receiver is draining. */
     record ToldDrain(long at, String node, String receiver) implements Fact { }
 
-    /** The platform heard a mail's end from the node. */
+    /** The node notified the platform of a mail's ending. */
     record Noticed(long at, String id, String node, String status) implements Fact { }
 
-    /** The node's process died; byItself: nobody had ended it or told it to end. */
+    /** The node's process died; byItself: nobody had killed it or told it to stop. */
     record Died(long at, String node, boolean byItself) implements Fact { }
 
-    /** The node's process serves (again). */
+    /** The node's process began to serve, after a start or a restart. */
     record Serves(long at, String node) implements Fact { }
 
-    /** A node's breaker went into this phase; only reports go by it, no rule does. */
+    /** A node's circuit breaker went into this phase; only reports use it, no rule does. */
     record Turned(long at, String node, String route, CircuitBreakerState.Phase phase) implements Fact { }
 
-    /** A receiver was gone and is back, cold; a receiver was pushed over: more came than it could bear. */
+    /** A receiver was gone and is back; its slow start begins. */
     record Back(long at, String receiver) implements Fact { }
 
+    /** A receiver that was back got more load than it could bear during its slow start. */
     record PushedOver(long at, String receiver) implements Fact { }
 
-    /** A fault of the schedule began; until: when it is over. */
+    /** A fault of the schedule began; until: when it ends. The text holds neither until nor of: runs are compared by it. */
     record Fault(long at, String what, long until, Scenario.Fault of) implements Fact {
         @Override public String toString() {
             return "Fault[at=" + at + ", what=" + what + "]";
         }
     }
 
-    /** The node's state folder is not what it left: it is lost, or an earlier one. */
+    /** The node's state folder is not as its process left it: it is lost, or an earlier one. */
     record StateLost(long at, String node) implements Fact { }
 
-    /** What a fault waits for has not come by the day's end. */
+    /** The trigger of a fault was not met by the day's end. */
     record NeverCame(long at, String what) implements Fact { }
 
-    /** The asker closed the connection on which the mail's last answer was 200. */
+    /** The node closed the connection on which the mail's last response was 200. */
     record Closed(long at, String id, String receiver) implements Fact { }
 
-    /** Those who watch were late by so much, in nanoseconds: what their clocks say of just then can't be believed. */
+    /** The observers were late by so many nanoseconds, so that their timestamps of that time can't be trusted. */
     record Late(long at, long length) implements Fact { }
 
     /** The fact as a line of a timeline. */
--- a/lab/src/main/java/wrenreach/lab/FaultText.java
+++ b/lab/src/main/java/wrenreach/lab/FaultText.java
@@ -8,17 +8,21 @@
 import java.util.Set;
 
 /**
- * A fault as text, the same for the fleet in memory and for processes: KIND [TARGET] [FIGURE [MORE]] at MS for MS [every MS],
- * or once WHAT PARTY COUNT in place of at MS.
+ * Reads and writes faults as text, the same for fleets in memory and fleets of processes: KIND [TARGET] [FIGURE [MORE]] at MS for MS
+ * [every MS], or once WHAT PARTY COUNT in place of at MS.
  */
 final class FaultText {
     private static final String SYNTAX = "KIND WHICH [FIGURE [MORE]] at MS|once SEEN PARTY COUNT for MS [every MS]";
     private static final String NUMBER_PATTERN = "\\d{1,9}(\\.\\d{1,6})?";
+    /** Faults that one text with "every" may stand for. */
     private static final int MAX_REPEATS = 10_000;
 
     private FaultText() { }
 
-    /** Each time it comes back, the next one is hit; until: the last instant at which one begins. */
+    /**
+     * The faults of a text. A repeated one strikes the next target each time; until: repeats begin before this instant, in
+     * milliseconds. Throws IllegalArgumentException where the text is no fault.
+     */
     static List<Scenario.Fault> parse(String text, int until) {
         List<String> words = new ArrayList<>(Arrays.asList(text.split("\\s+")));
         Scenario.Kind kind = Scenario.parseEnum(Scenario.Kind.values(), words.remove(0));
@@ -59,7 +63,7 @@
         return all;
     }
 
-    /** The text that {@link #read} reads. */
+    /** The fault as the text that {@link #parse} reads. */
     static String format(Scenario.Fault fault) {
         String target = fault.kind().targetType == Scenario.TargetType.NODES ? "" : " " + fault.target();
         String figures = maxFigures(fault.kind()) == 0 ? "" : " " + formatNumber(fault.figure())
@@ -79,6 +83,7 @@
         return words.remove(0);
     }
 
+    /** How many figures a fault of this kind may have. */
     private static int maxFigures(Scenario.Kind kind) {
         return switch (kind) {
             case DELAY, REORDERING -> 2;
@@ -88,10 +93,10 @@
     }
 
     private static void checkFigures(Scenario.Kind kind, List<Double> figures) {
-        int most = maxFigures(kind);
-        int least = kind == Scenario.Kind.RESET ? 0 : most == 2 && kind == Scenario.Kind.REORDERING ? 2 : Math.min(1, most);
-        if (figures.size() < least || figures.size() > most) {
-            throw new IllegalArgumentException(kind.keyword() + " takes " + least + " to " + most + " figures, not " + figures.size());
+        int max = maxFigures(kind);
+        int min = kind == Scenario.Kind.RESET ? 0 : max == 2 && kind == Scenario.Kind.REORDERING ? 2 : Math.min(1, max);
+        if (figures.size() < min || figures.size() > max) {
+            throw new IllegalArgumentException(kind.keyword() + " takes " + min + " to " + max + " figures, not " + figures.size());
         }
         boolean share = kind == Scenario.Kind.RESET || kind == Scenario.Kind.LOSS || kind == Scenario.Kind.DOUBLING
                 || kind == Scenario.Kind.REORDERING || kind.failingCall() != null;
@@ -126,7 +131,7 @@
         return name;
     }
 
-    /** The two sides of a link, the first one's way first. */
+    /** The two parties of a link as they are written, the sender of a one-way link first. */
     private static String[] parseLink(String target) {
         String[] sides = target.split("[->]");
         if (sides.length != 2) {
@@ -137,7 +142,7 @@
         return sides;
     }
 
-    /** The parties that a fault names. */
+    /** The parties that a fault's target and trigger name. */
     static Set<String> parties(Scenario.Fault fault) {
         Set<String> all = new LinkedHashSet<>();
         if (fault.kind().targetType == Scenario.TargetType.LINK || fault.kind().targetType == Scenario.TargetType.SETS) {
@@ -149,10 +154,10 @@
         return all;
     }
 
-    /** One way between two parties by their names; a node's platform is platform-NAME. */
+    /** One direction between two parties, by their names; a node's platform is platform-NAME. */
     record DirectedLink(String from, String to) { }
 
-    /** The ways that a fault of links is on, in a fleet of so many nodes and receivers. */
+    /** The directed links that a fault strikes, in a fleet of so many nodes and receivers. */
     static List<DirectedLink> directedLinks(Scenario.Fault fault, int nodes, int receivers) {
         Set<DirectedLink> all = new LinkedHashSet<>();
         switch (fault.kind()) {
@@ -196,6 +201,7 @@
         return List.copyOf(all);
     }
 
+    /** Adds the links from one set of parties to another; only those to or from a node exist. */
     private static void addLinks(Set<DirectedLink> all, String from, String to, int nodes, int receivers) {
         for (String a : expandSet(from, nodes, receivers)) {
             for (String b : expandSet(to, nodes, receivers)) {
@@ -208,6 +214,7 @@
         }
     }
 
+    /** The parties of a set, with nodes and receivers written out. */
     private static List<String> expandSet(String set, int nodes, int receivers) {
         List<String> all = new ArrayList<>();
         for (String one : set.split(",")) {
--- a/lab/src/main/java/wrenreach/lab/LabCommand.java
+++ b/lab/src/main/java/wrenreach/lab/LabCommand.java
@@ -23,9 +23,9 @@
 import wrenreach.frame.Command;
 import wrenreach.operator.Unit;
 
-/** wrenreach lab: whole nodes in virtual time, judged by the rules, and experiments with them. */
+/** The command wrenreach lab: plays experiments, generated days and soak tests with whole nodes, and checks them against the rules. */
 public final class LabCommand implements Command {
-    /** Fleets of processes beside each other: more would be late themselves. */
+    /** Fleets of processes that a soak plays in parallel by default; with more, the observers would be late themselves. */
     private static final int DEFAULT_SOAK_JOBS = 3;
 
     @Override public String name() {
@@ -44,7 +44,7 @@
     }
 
     @Override public int run(List<String> words, PrintStream out, PrintStream err) {
-        // Thousands of nodes start and stop here: what each says for staff is no news.
+        // Thousands of nodes start and stop here; their log lines for operators would only be noise.
         Logger.getLogger("").setLevel(Level.OFF);
         Options known = new Options();
         for (String option : List.of("out", "jobs", "seeds", "for", "day")) {
@@ -107,7 +107,7 @@
         return Integer.parseInt(text);
     }
 
-    /** jobs: worlds beside each other; 0: real nodes, one day after the other. */
+    /** jobs: days that are played in parallel in virtual time; 0: real nodes, one day after the other. */
     private static int runExperiment(Path file, Path folder, int jobs, PrintStream out, PrintStream err)
             throws IOException, InterruptedException {
         Experiment experiment;
@@ -136,25 +136,26 @@
                     err.flush();
                 }
             };
-            List<ExperimentRunner.DayResult> trials = real ? ProcessTrials.play(experiment, files.logFolder(), progress) : ExperimentRunner.play(experiment, jobs, progress);
-            files.write(experiment, trials, real);
+            List<ExperimentRunner.DayResult> results = real ? ProcessTrials.play(experiment, files.logFolder(), progress)
+                    : ExperimentRunner.play(experiment, jobs, progress);
+            files.write(experiment, results, real);
             out.println(experiment.about().about());
             out.println(DeliveryMetrics.tableHeader((real ? "real nodes, " : "emulated, ") + experiment.sweep().figure()));
-            ExperimentRunner.mergeDays(trials).forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) ->
-                    out.println(figures.tableRow(value + " " + dispatcher))));
-            int own = 0;
-            for (ExperimentRunner.DayResult trial : trials) {
-                if (trial.dispatcher().equals("wrenreach")) {
-                    trial.violations().forEach(one -> out.println("seed " + trial.seed() + " breaks " + one.rule() + ": " + one.what()));
-                    own += trial.violations().size() + trial.unmetConditions().size();
-                    trial.verdict().inconclusive().forEach(one -> out.println("seed " + trial.seed() + " can't tell of " + one.rule() + ": "
+            ExperimentRunner.mergeDays(results).forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, metrics) ->
+                    out.println(metrics.tableRow(value + " " + dispatcher))));
+            int failures = 0;
+            for (ExperimentRunner.DayResult result : results) {
+                if (result.dispatcher().equals("wrenreach")) {
+                    result.violations().forEach(one -> out.println("seed " + result.seed() + " breaks " + one.rule() + ": " + one.what()));
+                    failures += result.violations().size() + result.unmetConditions().size();
+                    result.verdict().inconclusive().forEach(one -> out.println("seed " + result.seed() + " can't tell of " + one.rule() + ": "
                             + one.what() + "; those who watched were late themselves"));
-                    trial.unmetConditions().forEach(what -> out.println("seed " + trial.seed() + ":" + what));
+                    result.unmetConditions().forEach(what -> out.println("seed " + result.seed() + ":" + what));
                 }
             }
             out.println("report: " + folder.resolve("report.html"));
-            out.println(ExperimentRunner.fingerprint(trials));
-            return own == 0 ? 0 : 1;
+            out.println(ExperimentRunner.fingerprint(results));
+            return failures == 0 ? 0 : 1;
         }
     }
 
@@ -165,7 +166,7 @@
         return 0;
     }
 
-    /** Plays drawn days beside each other, and tells of them in the order of their seeds. */
+    /** Plays generated days in parallel, and reports them in the order of their seeds. */
     private record SeedExplorer(Path folder, PrintStream out) {
         private record PlayedDay(Scenario scenario, List<Rules.Violation> violations, long emulatedNanos) { }
 
@@ -175,20 +176,20 @@
             long begin = System.nanoTime();
             long emulated = 0;
             int played = 0;
-            int broken = 0;
+            int failed = 0;
             try {
                 for (long seed = from; seed <= to && System.nanoTime() - begin < nanos; seed += 4L * jobs) {
-                    List<Future<PlayedDay>> under = new ArrayList<>();
+                    List<Future<PlayedDay>> pending = new ArrayList<>();
                     for (long one = seed; one <= to && one < seed + 4L * jobs; one++) {
                         Scenario scenario = Scenario.generate(one);
-                        under.add(pool.submit(() -> play(scenario)));
+                        pending.add(pool.submit(() -> play(scenario)));
                     }
-                    for (Future<PlayedDay> one : under) {
+                    for (Future<PlayedDay> one : pending) {
                         PlayedDay day = one.get();
                         played++;
                         emulated += day.emulatedNanos;
                         if (!day.violations.isEmpty()) {
-                            broken++;
+                            failed++;
                             saveShrunk(day);
                         }
                     }
@@ -200,8 +201,8 @@
             }
             double took = (System.nanoTime() - begin) / 1e9;
             out.printf(Locale.ROOT, "%d days played, %d broke a rule; %.0f emulated seconds in %.1f s, %.0f days an hour%n", played,
-                    broken, emulated / 1e9, took, played / took * 3600);
-            return broken == 0 ? 0 : 1;
+                    failed, emulated / 1e9, took, played / took * 3600);
+            return failed == 0 ? 0 : 1;
         }
 
         private static PlayedDay play(Scenario scenario) {
@@ -209,13 +210,14 @@
             return new PlayedDay(scenario, Rules.judge(scenario, play.world.facts, play.settings, play.world.now()), play.world.now());
         }
 
+        /** Shrinks a day that violates a rule and writes its text to the folder. */
         private void saveShrunk(PlayedDay day) throws IOException {
             Rules.Violation first = day.violations.get(0);
-            Scenario least = new ScenarioShrinker(DeliveryDispatcher::new).shrink(day.scenario, first.rule());
+            Scenario smallest = new ScenarioShrinker(DeliveryDispatcher::new).shrink(day.scenario, first.rule());
             Path file = folder.resolve(first.rule().name().toLowerCase(Locale.ROOT) + "-" + day.scenario.seed() + ".day");
-            Files.writeString(file, "# " + first.what() + System.lineSeparator() + least.text());
+            Files.writeString(file, "# " + first.what() + System.lineSeparator() + smallest.text());
             out.printf("seed %d breaks %s: %s; kept as %s with %d faults%n", day.scenario.seed(), first.rule(), first.what(), file,
-                    least.faults().size());
+                    smallest.faults().size());
         }
     }
 
--- a/lab/src/main/java/wrenreach/lab/Report.java
+++ b/lab/src/main/java/wrenreach/lab/Report.java
@@ -27,9 +27,13 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** One page that holds all of a run, its plots included; or two runs side by side. */
+/** The HTML report: a self-contained page of one run with its charts, or of two runs side by side. */
 final class Report {
-    private static final int CHART_WIDTH = 640, CHART_HEIGHT = 340;
+    /** The width of a chart in pixels. */
+    private static final int CHART_WIDTH = 640;
+    /** The height of a chart in pixels. */
+    private static final int CHART_HEIGHT = 340;
+    /** The colours of the dispatchers in the charts, used again from the first if there are more dispatchers. */
     private static final Color[] COLOURS = {new Color(0x1b6ca8), new Color(0xc0392b), new Color(0xe0a30b), new Color(0x5b7f2b),
         new Color(0x7a4ea3), new Color(0x555555)};
     private static final String STYLE = """
@@ -48,7 +52,7 @@
         return documentHead(run.about()) + "<h1>" + escapeHtml(run.about()) + "</h1>" + runSection(run) + "</body></html>\n";
     }
 
-    /** The page of two runs: what differs first, then each with its plots. */
+    /** The page of two runs: first a table of the differences, then each run with its charts. */
     String page(String leftName, RunFiles.Run left, String rightName, RunFiles.Run right) {
         StringBuilder page = new StringBuilder(documentHead("Two runs"));
         page.append("<h1>").append(escapeHtml(leftName)).append(" and ").append(escapeHtml(rightName)).append("</h1>");
@@ -71,6 +75,7 @@
         return page.append("</div></body></html>\n").toString();
     }
 
+    /** A table cell with a value of the left and of the right run. */
     private static String changeCell(String form, double a, double b) {
         return String.format(Locale.ROOT, "<td>" + form + " &rarr; " + form + "</td>", a, b);
     }
@@ -105,14 +110,15 @@
         return part.toString();
     }
 
+    /** Takes the value of a chart from the metrics. */
     private interface MetricReader {
         double read(DeliveryMetrics figures);
     }
 
-    private static JFreeChart barChart(RunFiles.Run run, String title, String axis, MetricReader reads) {
+    private static JFreeChart barChart(RunFiles.Run run, String title, String axis, MetricReader reader) {
         DefaultCategoryDataset data = new DefaultCategoryDataset();
         run.metrics().forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) ->
-                data.addValue(reads.read(figures), dispatcher, value)));
+                data.addValue(reader.read(figures), dispatcher, value)));
         JFreeChart chart = ChartFactory.createBarChart(title, run.sweptFigure(), axis, data, PlotOrientation.VERTICAL, true, false, false);
         BarRenderer renderer = (BarRenderer) chart.getCategoryPlot().getRenderer();
         renderer.setBarPainter(new StandardBarPainter());
@@ -125,7 +131,7 @@
         return chart;
     }
 
-    /** Each nine as far from the next as the one before, so that the tail can be read. */
+    /** A chart of percentiles with equal distances between 90 %, 99 %, 99.9 % and so on, so that the tail can be read. */
     private static JFreeChart delayChart(String point, Map<String, DeliveryMetrics> byDispatcher) {
         XYSeriesCollection data = new XYSeriesCollection();
         byDispatcher.forEach((dispatcher, figures) -> {
@@ -149,7 +155,7 @@
         return chart;
     }
 
-    /** Writes the number of nines as a percentage. */
+    /** Formats a number of nines as a percentage: 2 as 99 %. */
     private static final class NinesFormat extends NumberFormat {
         private static final long serialVersionUID = 1;
 
--- a/lab/src/main/java/wrenreach/lab/Rules.java
+++ b/lab/src/main/java/wrenreach/lab/Rules.java
@@ -13,14 +13,14 @@
 import wrenreach.api.Settings;
 
 /**
- * The six rules, judged from a world's facts alone: what clients, receivers and the platform saw. Slack: what the
- * protocol allows a real node.
+ * Checks the delivery rules against the facts of one run only: what clients, receivers and the platform observed. The slack
+ * constants are the tolerances that the protocol grants a real node. Times are in nanoseconds since the world's begin.
  */
 final class Rules {
     /**
-     * The rules, by what breaks them, each with its oracle: the one place where one is added. The first six are those that the
-     * product keeps; UNTRUE is a final answer that its own receiver contradicts; UNTRIED is what a process left taken on
-     * and its successor gave up with no call; DIED is a process that ended though nobody had ended it.
+     * The rules, named by their violation, each with its check; a new rule is added only here. The first six are guarantees of
+     * the product. UNTRUE: a final status that the mail's own receiver contradicts. UNTRIED: mails that a process had accepted
+     * and that its successor gave up without a call. DIED: a process that ended although nobody had ended it.
      */
     enum Rule {
         LOST(Rules::checkEndings), TWICE(Rules::checkDuplicates), DRAIN(Rules::checkDrains), PUSHED_OVER(Rules::checkOverload), ORDER(Rules::checkOrder),
@@ -28,36 +28,61 @@
 
         private final Consumer<Rules> check;
 
-        Rule(Consumer<Rules> oracle) {
-            this.check = oracle;
+        Rule(Consumer<Rules> check) {
+            this.check = check;
         }
     }
 
-    /** One break: where it shows, and in words. */
+    /** One violation of a rule: when it was observed, and a description. */
     record Violation(Rule rule, long at, String what) { }
 
-    /** What broke, and what may have, but just then those who watched were late themselves: nobody can tell. */
+    /** violations: proven; inconclusive: found while the observers were late themselves, so that their clocks prove nothing. */
     record Verdict(List<Violation> violations, List<Violation> inconclusive) { }
 
-    private static final long MS = 1_000_000, SECOND = 1000 * MS;
-    private static final long NOTICE_SLACK = 300 * MS, RECOVERY_SLACK = 1500 * MS, RECONNECT_SLACK = 7 * SECOND, RETRY_AFTER_SLACK = 100 * MS,
-            DRAIN_SLACK = 50 * MS, FIRST_LIST_SLACK = 1000 * MS, LATE_ARRIVAL_SLACK = 300 * MS, RESPONSE_SLACK = 50 * MS, LATE_OBSERVER_MARGIN = SECOND;
-    /** Fewer mails found untried in a day say nothing; nor does one with less time left. */
+    /** A millisecond in nanoseconds. */
+    private static final long MS = 1_000_000;
+    /** A second in nanoseconds. */
+    private static final long SECOND = 1000 * MS;
+    /** After the end of a mail's lifetime, for its ending to reach the platform. */
+    private static final long NOTICE_SLACK = 300 * MS;
+    /** After a node serves again, or a freeze or a fault of its state folder is over, before anything is overdue. */
+    private static final long RECOVERY_SLACK = 1500 * MS;
+    /** After a fault of a link, during which the node may still be affected by it. */
+    private static final long RECONNECT_SLACK = 7 * SECOND;
+    /** After a retry-after was written, during which calls may still arrive. */
+    private static final long RETRY_AFTER_SLACK = 100 * MS;
+    /** After the drain grace, for calls that arrive later than they began. */
+    private static final long DRAIN_SLACK = 50 * MS;
+    /** After a node serves, until it has to know its first endpoint list. */
+    private static final long FIRST_LIST_SLACK = 1000 * MS;
+    /** After a fault of a link to a receiver, during which data that the fault held up may still arrive. */
+    private static final long LATE_ARRIVAL_SLACK = 300 * MS;
+    /** After a receiver has answered, for the node to read the response. */
+    private static final long RESPONSE_SLACK = 50 * MS;
+    /** Before and after a time at which the observers were late; in it, rules that depend on clocks are inconclusive. */
+    private static final long LATE_OBSERVER_MARGIN = SECOND;
+    /** The rule UNTRIED judges only days on which restarts found at least so many untried mails; fewer prove nothing. */
     private static final int MIN_UNTRIED_MAILS = 10;
+    /** The rule UNTRIED counts only mails with more than this left of their lifetime, in nanoseconds. */
     private static final long MIN_TIME_LEFT = SECOND;
 
-    /** A time during which a node can't be held to something. */
+    /** A time from (inclusive) to (exclusive), in which a node is excused from a rule or was affected by a fault. */
     private record Span(long from, long to) { }
 
     private final List<Violation> violations = new ArrayList<>();
+    /** By node: when nothing can be demanded of it; what falls due then is due at the end of the span. */
     private final Map<String, List<Span>> excusedSpans = new HashMap<>();
     private final Map<String, List<Long>> readyTimes = new HashMap<>();
     private final Map<String, List<Long>> deathTimes = new HashMap<>();
+    /** By mail id, in the order of submission. */
     private final Map<String, Fact.HandedIn> mails;
+    /** When links between nodes and receivers were disturbed, with the time in which held-up data may still arrive. */
     private final List<Span> receiverLinkFaults = new ArrayList<>();
-    /** By node: when something was wrong with the process or with a link of it. */
+    /** By node: when a fault affected the process or one of its links. */
     private final Map<String, List<Span>> nodeFaults = new HashMap<>();
+    /** By node: when its state folder was last lost or replaced by an earlier one. */
     private final Map<String, Long> stateLostAt = new HashMap<>();
+    /** Mails submitted before their node lost its state: they may be lost or repeated. */
     private final Set<String> forgottenMails = new HashSet<>();
     private final Settings settings;
     private final List<Fact> facts;
@@ -70,12 +95,15 @@
         mails = submissions();
     }
 
-    /** All that broke, in the order of time; end: the instant up to which the world was played. */
+    /** All violations in the order of time, inconclusive ones left out; end: the instant up to which the world was played. */
     static List<Violation> judge(Scenario scenario, List<Fact> facts, Settings settings, long end) {
         return verdict(scenario, facts, settings, end).violations;
     }
 
-    /** The same, with what can't be told: rules with clocks in them, around the instants at which the watchers were late. */
+    /**
+     * As {@link #judge}, with the inconclusive violations: those of rules that depend on clocks, around the instants at which the
+     * observers were late. ORDER, TWICE and DIED do not depend on clocks and are always judged.
+     */
     static Verdict verdict(Scenario scenario, List<Fact> facts, Settings settings, long end) {
         Rules rules = new Rules(facts, settings, end);
         rules.collectExcuses(scenario);
@@ -83,11 +111,11 @@
             rule.check.accept(rules);
         }
         rules.violations.sort((a, b) -> Long.compare(a.at, b.at));
-        List<Span> late = facts.stream().filter(fact -> fact instanceof Fact.Late).map(fact -> new Span(
+        List<Span> lateSpans = facts.stream().filter(fact -> fact instanceof Fact.Late).map(fact -> new Span(
                 fact.at() - ((Fact.Late) fact).length() - LATE_OBSERVER_MARGIN, fact.at() + LATE_OBSERVER_MARGIN)).toList();
-        Map<Boolean, List<Violation>> told = rules.violations.stream().collect(Collectors.partitioningBy(one -> one.rule != Rule.ORDER
-                && one.rule != Rule.TWICE && one.rule != Rule.DIED && late.stream().anyMatch(span -> one.at >= span.from && one.at < span.to)));
-        return new Verdict(told.get(false), told.get(true));
+        Map<Boolean, List<Violation>> byDoubt = rules.violations.stream().collect(Collectors.partitioningBy(one -> one.rule != Rule.ORDER
+                && one.rule != Rule.TWICE && one.rule != Rule.DIED && lateSpans.stream().anyMatch(span -> one.at >= span.from && one.at < span.to)));
+        return new Verdict(byDoubt.get(false), byDoubt.get(true));
     }
 
     private void checkOverload() {
@@ -103,19 +131,19 @@
     }
 
     private void collectExcuses(Scenario scenario) {
-        // A process that dies before it serves (its disk is full) has not been back: what counts is the first death.
-        Map<String, Long> gone = new HashMap<>();
+        // A process that dies before it serves (its disk is full) was never back, so the span begins at the first death.
+        Map<String, Long> downSince = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Died died) {
                 deathTimes.computeIfAbsent(died.node(), n -> new ArrayList<>()).add(died.at());
-                gone.putIfAbsent(died.node(), died.at());
+                downSince.putIfAbsent(died.node(), died.at());
             } else if (fact instanceof Fact.Fault fault && (fault.of().kind() == Scenario.Kind.STOP
                     || fault.of().kind() == Scenario.Kind.IGNORES_TERM)) {
-                // Nothing is overdue from the signal on.
-                fault.of().targetIndexes(scenario.nodes()).forEach(i -> gone.putIfAbsent("n" + i, fault.at()));
+                // From the signal on the node is stopping, and nothing is overdue until it serves again.
+                fault.of().targetIndexes(scenario.nodes()).forEach(i -> downSince.putIfAbsent("n" + i, fault.at()));
             } else if (fact instanceof Fact.Serves ready) {
                 readyTimes.computeIfAbsent(ready.node(), n -> new ArrayList<>()).add(ready.at());
-                Long since = gone.remove(ready.node());
+                Long since = downSince.remove(ready.node());
                 excusedSpans.computeIfAbsent(ready.node(), n -> new ArrayList<>())
                         .add(new Span(since == null ? ready.at() : since, ready.at() + RECOVERY_SLACK));
             }
@@ -127,7 +155,8 @@
                 stateLostAt.put(lost.node(), lost.at());
             }
         }
-        // What a folder that is lost, or an earlier one, says nothing of is owed by nobody any more, or comes back.
+        // A state folder that is lost, or an earlier one, no longer holds these mails or holds them although they have ended:
+        // no ending can be demanded for them, and they may be delivered again.
         for (Fact fact : facts) {
             if (fact instanceof Fact.HandedIn in && in.at() <= stateLostAt.getOrDefault(in.node(), -1L)) {
                 forgottenMails.add(in.id());
@@ -153,23 +182,23 @@
                 if (of.kind().targetType == Scenario.TargetType.LINK || of.kind().targetType == Scenario.TargetType.SETS || of.kind() == Scenario.Kind.MUTE
                         || of.kind() == Scenario.Kind.DEAF) {
                     FaultText.directedLinks(of, scenario.nodes(), scenario.destinations() * scenario.endpoints())
-                            .forEach(way -> addLinkFault(way, fault, during));
+                            .forEach(link -> addLinkFault(link, fault, during));
                 }
             }
         }
     }
 
-    private void addLinkFault(FaultText.DirectedLink way, Fact.Fault fault, Span during) {
-        boolean fromNode = way.from().matches("n\\d+");
-        String node = fromNode ? way.from() : way.to();
-        String other = fromNode ? way.to() : way.from();
+    private void addLinkFault(FaultText.DirectedLink link, Fact.Fault fault, Span during) {
+        boolean fromNode = link.from().matches("n\\d+");
+        String node = fromNode ? link.from() : link.to();
+        String other = fromNode ? link.to() : link.from();
         addSpan(nodeFaults, node, during);
         if (other.startsWith("platform-")) {
             addSpan(excusedSpans, node, during);
         } else if (other.matches("r\\d+")) {
-            long more = fault.of().kind() == Scenario.Kind.DELAY ? (long) (MS * (fault.of().figure() + fault.of().more()))
+            long heldUpLonger = fault.of().kind() == Scenario.Kind.DELAY ? (long) (MS * (fault.of().figure() + fault.of().more()))
                     : fault.of().kind() == Scenario.Kind.RATE ? 2 * SECOND : 0;
-            receiverLinkFaults.add(new Span(fault.at(), fault.until() + LATE_ARRIVAL_SLACK + more));
+            receiverLinkFaults.add(new Span(fault.at(), fault.until() + LATE_ARRIVAL_SLACK + heldUpLonger));
         }
     }
 
@@ -177,7 +206,7 @@
         spans.computeIfAbsent(of, n -> new ArrayList<>()).add(span);
     }
 
-    /** The instant by which something due is really owed. */
+    /** The instant by which a node has to do what is due: moved to the end of the node's excused spans that it falls into. */
     private long dueBy(String node, long due) {
         long by = due;
         for (boolean moved = true; moved;) {
@@ -207,16 +236,19 @@
         return all;
     }
 
-    /** One final answer in time, none lost; what ran is not called harmless to hand in again. */
+    /**
+     * Each accepted mail gets exactly one ending in time. Being refused or deferred tells a client that it may safely submit a mail
+     * again, so a refused mail never runs, and a mail that ran is not refused unless redeliverable, nor deferred if once only.
+     */
     private void checkEndings() {
-        Map<String, Long> over = new HashMap<>();
+        Map<String, Long> endedAt = new HashMap<>();
         Map<String, String> status = new HashMap<>();
         Set<String> ran = new HashSet<>();
         Set<String> refused = new HashSet<>();
-        Map<String, Fact.Answered> taken = new LinkedHashMap<>();
+        Map<String, Fact.Answered> accepted = new LinkedHashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Answered answered && answered.answer().equals("OK")) {
-                taken.put(answered.id(), answered);
+                accepted.put(answered.id(), answered);
             } else if (fact instanceof Fact.Answered answered && answered.answer().equals("BUSY") && ran.contains(answered.id())
                     && queueClass(answered.id()).effect() != Settings.Effect.REDELIVERABLE && !forgottenMails.contains(answered.id())) {
                 addViolation(Rule.TWICE, fact.at(), answered.id() + " ran and was refused as harmless to hand in again");
@@ -228,9 +260,9 @@
                     addViolation(Rule.TWICE, run.at(), run.id() + " was refused as harmless to hand in again and ran all the same");
                 }
             } else if (fact instanceof Fact.Delivered delivered) {
-                over.putIfAbsent(delivered.id(), delivered.at());
+                endedAt.putIfAbsent(delivered.id(), delivered.at());
             } else if (fact instanceof Fact.Noticed noticed) {
-                over.putIfAbsent(noticed.id(), noticed.at());
+                endedAt.putIfAbsent(noticed.id(), noticed.at());
                 String before = status.put(noticed.id(), noticed.status());
                 if (before != null && !before.equals(noticed.status()) && !forgottenMails.contains(noticed.id())) {
                     addViolation(Rule.LOST, noticed.at(), noticed.id() + " has two ends: " + before + ", " + noticed.status());
@@ -241,10 +273,10 @@
                 }
             }
         }
-        taken.forEach((id, answered) -> {
+        accepted.forEach((id, answered) -> {
             Fact.HandedIn mail = mails.get(id);
             long due = dueBy(answered.node(), mail.until() + NOTICE_SLACK);
-            long at = over.getOrDefault(id, Long.MAX_VALUE);
+            long at = endedAt.getOrDefault(id, Long.MAX_VALUE);
             if (at > due && due < end && !forgottenMails.contains(id)) {
                 addViolation(Rule.LOST, due, id + " was taken on by " + answered.node() + " and "
                         + (at == Long.MAX_VALUE ? "never ended" : "ended " + (at - due) / MS + " ms too late"));
@@ -252,37 +284,38 @@
         });
     }
 
-    /** No effect twice, and no second copy beside an open one. */
+    /** No effect happens twice where it must not, and no second copy of a mail is sent while an earlier one is open. */
     private void checkDuplicates() {
         Map<String, Long> first = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Called call && call.second()) {
                 addViolation(Rule.TWICE, call.at(), call.id() + " came to " + call.receiver() + " while an earlier copy is open there");
             } else if (fact instanceof Fact.Ran run) {
-                Settings.QueueClass kind = queueClass(run.id());
+                Settings.QueueClass queueClass = queueClass(run.id());
                 Long before = first.putIfAbsent(run.id(), run.at());
-                if (before == null || kind.effect() == Settings.Effect.REDELIVERABLE || forgottenMails.contains(run.id())) {
+                if (before == null || queueClass.effect() == Settings.Effect.REDELIVERABLE || forgottenMails.contains(run.id())) {
                     continue;
                 }
-                if (kind.effect() == Settings.Effect.ONCE_ONLY) {
+                if (queueClass.effect() == Settings.Effect.ONCE_ONLY) {
                     addViolation(Rule.TWICE, run.at(), run.id() + " may run once only and ran again");
-                } else if (!run.givenUp() && !mayBeHeldUp(run.at()) && run.at() - before > 1000 * kind.deduplicationWindow()) {
+                } else if (!run.givenUp() && !mayBeHeldUp(run.at()) && run.at() - before > 1000 * queueClass.deduplicationWindow()) {
                     addViolation(Rule.TWICE, run.at(), run.id() + " ran again " + (run.at() - before) / MS + " ms later, outside its window");
                 }
             }
         }
     }
 
-    /** Whether a cut between nodes and receivers may have held up what came then. */
+    /** Whether a fault of a link to a receiver may have held up what arrived at this instant. */
     private boolean mayBeHeldUp(long at) {
         return receiverLinkFaults.stream().anyMatch(cut -> at >= cut.from && at < cut.to);
     }
 
+    /** The last of these times that is not after the given one; a very early instant if there is none. */
     private static long latestUpTo(List<Long> times, long before) {
         return times.stream().filter(t -> t <= before).reduce(Long.MIN_VALUE / 2, Math::max);
     }
 
-    /** A drained endpoint gets no call that begins after the grace. */
+    /** A draining endpoint gets no call that begins after the drain grace, counted from when the node could know of the drain. */
     private void checkDrains() {
         Map<String, Long> drained = new HashMap<>();
         Map<String, Long> told = new HashMap<>();
@@ -327,12 +360,13 @@
         }
     }
 
+    /** The node and order key within which this mail keeps its order. */
     private String orderScope(String id) {
         Fact.HandedIn mail = mails.get(id);
         return mail.node() + "/" + mail.key();
     }
 
-    /** No process ends by itself: neither its machine's failing calls nor what it meets outside are a reason. */
+    /** No process ends by itself, whatever system calls of its machine fail and whatever its peers do. */
     private void checkDeaths() {
         for (Fact fact : facts) {
             if (fact instanceof Fact.Died died && died.byItself()) {
@@ -341,22 +375,22 @@
         }
     }
 
-    /** What a node took of one key runs in the order taken, and is sent in turn. */
+    /** The mails of one key that a node accepted are sent one after the other and run in the order of acceptance. */
     private void checkOrder() {
         checkSendOrder();
-        Map<String, Integer> place = new HashMap<>();
+        Map<String, Integer> acceptedAs = new HashMap<>();
         Map<String, Integer> latest = new TreeMap<>();
         int count = 0;
         for (Fact fact : facts) {
             if (fact instanceof Fact.Answered answered && answered.answer().equals("OK")) {
-                place.put(answered.id(), count++);
+                acceptedAs.put(answered.id(), count++);
             }
         }
         for (Fact fact : facts) {
-            // A copy that the network held up and the node gave up may run at any time; no node can prevent that.
-            if (fact instanceof Fact.Ran run && place.containsKey(run.id()) && !run.givenUp() && !mayBeHeldUp(run.at()) && !forgottenMails.contains(run.id())) {
+            // A copy that the node gave up or that the network held up may run at any time; no node can prevent that.
+            if (fact instanceof Fact.Ran run && acceptedAs.containsKey(run.id()) && !run.givenUp() && !mayBeHeldUp(run.at()) && !forgottenMails.contains(run.id())) {
                 Fact.HandedIn mail = mails.get(run.id());
-                int own = place.get(run.id());
+                int own = acceptedAs.get(run.id());
                 int before = latest.merge(mail.node() + "/" + mail.key(), own, Math::max);
                 if (before > own) {
                     addViolation(Rule.ORDER, run.at(), run.id() + " ran after a later mail of its key " + mail.key());
@@ -365,7 +399,7 @@
         }
     }
 
-    /** A told wait holds its destination until it is over or the node has restarted. */
+    /** A node sends no call to a destination before its retry-after is over, unless the node has restarted since. */
     private void checkRetryAfter() {
         Map<String, Fact.ToldWait> waits = new HashMap<>();
         for (Fact fact : facts) {
@@ -387,8 +421,9 @@
     }
 
     /**
-     * What a receiver has answered with 200, on a connection that its node keeps open, is neither called undelivered nor sent
-     * again. Not judged where the node died, the link had a trouble, or the node had closed by the time the answer was there.
+     * A mail that a receiver answered with 200, on a connection that its node keeps open, is neither reported undelivered nor sent
+     * again. Not judged where the node died, a link of it had a fault, or the node had closed the connection by the time the
+     * response arrived.
      */
     private void checkFinalStatus() {
         Map<String, Fact.Delivered> delivered = new HashMap<>();
@@ -408,11 +443,12 @@
     }
 
     /**
-     * What a process left taken on and never called is still called by the next: not over half of a day's ends with no call.
-     * Not judged: mails with next to no time left, or whose receivers or links had a trouble, once the node was back.
+     * Mails that a process accepted and never called are called by the next process: at most half of such mails of a day may end
+     * without a call. Not judged: mails with little time left, and mails during whose remaining lifetime a receiver or a link had a
+     * fault after the node was back.
      */
     private void checkUntried() {
-        List<Span> troubles = facts.stream().filter(fact -> fact instanceof Fact.Fault fault && (fault.of().kind().targetType == Scenario.TargetType.RECEIVER
+        List<Span> disturbances = facts.stream().filter(fact -> fact instanceof Fact.Fault fault && (fault.of().kind().targetType == Scenario.TargetType.RECEIVER
                 || fault.of().kind().targetType == Scenario.TargetType.LINK || fault.of().kind().targetType == Scenario.TargetType.SETS
                 || fault.of().kind() == Scenario.Kind.CUT_RECEIVER || fault.of().kind() == Scenario.Kind.MUTE
                 || fault.of().kind() == Scenario.Kind.DEAF)).map(fact -> new Span(fact.at(), ((Fact.Fault) fact).until())).toList();
@@ -430,7 +466,7 @@
                 open.forEach((id, node) -> {
                     long until = mails.get(id).until();
                     if (node.equals(back.node()) && until - back.at() > MIN_TIME_LEFT && !forgottenMails.contains(id)
-                            && troubles.stream().noneMatch(span -> span.from < until && span.to > back.at())) {
+                            && disturbances.stream().noneMatch(span -> span.from < until && span.to > back.at())) {
                         found.add(id);
                     }
                 });
@@ -441,15 +477,16 @@
         }
     }
 
+    /** Reports what contradicts a receiver's answer, unless the node could not have known the answer. */
     private void checkContradiction(Fact.Delivered answer, Set<String> closed, String node, long at, String what) {
         if (answer == null || closed.contains(answer.id()) || forgottenMails.contains(answer.id()) || at - answer.at() < RESPONSE_SLACK) {
             return;
         }
-        long life = latestUpTo(readyTimes.getOrDefault(node, List.of()), answer.at());
-        boolean died = deathTimes.getOrDefault(node, List.of()).stream().anyMatch(death -> death >= life && death <= at);
-        boolean troubles = nodeFaults.getOrDefault(node, List.of()).stream()
+        long startedAt = latestUpTo(readyTimes.getOrDefault(node, List.of()), answer.at());
+        boolean died = deathTimes.getOrDefault(node, List.of()).stream().anyMatch(death -> death >= startedAt && death <= at);
+        boolean disturbed = nodeFaults.getOrDefault(node, List.of()).stream()
                 .anyMatch(span -> span.from < span.to && span.from <= at && span.to > answer.at());
-        if (!died && !troubles) {
+        if (!died && !disturbed) {
             addViolation(Rule.UNTRUE, at, answer.id() + " " + what + " " + (at - answer.at()) / MS + " ms after " + answer.receiver()
                     + " had answered 200");
         }
--- a/lab/src/main/java/wrenreach/lab/RunFiles.java
+++ b/lab/src/main/java/wrenreach/lab/RunFiles.java
@@ -21,34 +21,42 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * The folder of one run: results.csv with a line a day, delays.hlog with the delays of each point in HdrHistogram's log
- * format, breakers.csv, timing.csv (the only file that differs from run to run) and report.html. It appears whole or not at
- * all.
+ * The folder of one run of an experiment: results.csv with a line a day, delays.hlog with the delays of each point (a value of the
+ * sweep and a dispatcher) in HdrHistogram's log format, breakers.csv, timing.csv (the only file that differs from run to run) and
+ * report.html. The files are written to a partial folder beside it, which gets the final name only when it is complete.
  */
 final class RunFiles implements AutoCloseable {
-    /** What is known of a run from its folder. figures: by value and dispatcher. */
+    /** A run as its folder holds it. mode: emulated or with real nodes; metrics: by value of the sweep and dispatcher. */
     record Run(String about, String mode, String sweptFigure, Map<Integer, Map<String, DeliveryMetrics>> metrics) { }
 
-    private static final String RESULTS_FILE = "results.csv", DELAYS_FILE = "delays.hlog", BREAKERS_FILE = "breakers.csv", TIMING_FILE = "timing.csv",
-            REPORT_FILE = "report.html";
+    /** A line a day with its metrics. */
+    private static final String RESULTS_FILE = "results.csv";
+    /** The delays of each point, in microseconds. */
+    private static final String DELAYS_FILE = "delays.hlog";
+    /** The history of the circuit breakers of each day. */
+    private static final String BREAKERS_FILE = "breakers.csv";
+    /** How long each day took to play; differs from run to run. */
+    private static final String TIMING_FILE = "timing.csv";
+    /** The page for readers. */
+    private static final String REPORT_FILE = "report.html";
     private static final String[] RESULT_COLUMNS = {"about", "how", "figure", "value", "dispatcher", "seed", "mails", "delivered", "in_time",
         "importance", "delivered_importance", "calls", "breaks", "p50_ms", "p99_ms", "p999_ms", "max_ms", "print"};
 
     private final Path folder;
     private final Path partialFolder;
 
-    /** Makes room for the folder before anything is played; an IOException tells why there is none. */
+    /** Creates the partial folder before anything is played; an IOException tells why the run could not be written. */
     RunFiles(Path folder) throws IOException {
         this.folder = folder.toAbsolutePath();
         if (Files.exists(this.folder) && (!Files.isDirectory(this.folder) || !isEmpty(this.folder))) {
             throw new IOException(folder + " is there already and not an empty folder");
         }
-        Path beside = this.folder.getParent();
-        if (beside == null) {
+        Path parent = this.folder.getParent();
+        if (parent == null) {
             throw new IOException(folder + " can't be written");
         }
-        Files.createDirectories(beside);
-        partialFolder = Files.createDirectory(beside.resolve(this.folder.getFileName() + ".part-" + ProcessHandle.current().pid()));
+        Files.createDirectories(parent);
+        partialFolder = Files.createDirectory(parent.resolve(this.folder.getFileName() + ".part-" + ProcessHandle.current().pid()));
     }
 
     private static boolean isEmpty(Path folder) throws IOException {
@@ -57,20 +65,20 @@
         }
     }
 
-    /** Writes all of it, and only then gives the folder its name. */
-    void write(Experiment experiment, List<ExperimentRunner.DayResult> trials, boolean real) throws IOException {
-        String how = real ? "real nodes on loopback" : "emulated";
-        writeResults(experiment, trials, how);
-        writeDelays(trials, how);
-        writeBreakers(trials);
-        writeTiming(trials);
-        Run run = new Run(experiment.about().about(), how, experiment.sweep().figure(), ExperimentRunner.mergeDays(trials));
+    /** Writes all files, and only then gives the folder its name. */
+    void write(Experiment experiment, List<ExperimentRunner.DayResult> results, boolean real) throws IOException {
+        String mode = real ? "real nodes on loopback" : "emulated";
+        writeResults(experiment, results, mode);
+        writeDelays(results, mode);
+        writeBreakers(results);
+        writeTiming(results);
+        Run run = new Run(experiment.about().about(), mode, experiment.sweep().figure(), ExperimentRunner.mergeDays(results));
         Files.writeString(partialFolder.resolve(REPORT_FILE), new Report().page(run));
         Files.deleteIfExists(folder);
         Files.move(partialFolder, folder, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** The folder for the logs of days that processes play. */
+    /** The folder for the logs of days that are played with processes. */
     Path logFolder() throws IOException {
         return Files.createDirectories(partialFolder.resolve("days"));
     }
@@ -80,25 +88,26 @@
                 CSVFormat.DEFAULT.builder().setHeader(columns).get());
     }
 
-    private void writeResults(Experiment experiment, List<ExperimentRunner.DayResult> trials, String how) throws IOException {
+    private void writeResults(Experiment experiment, List<ExperimentRunner.DayResult> results, String mode) throws IOException {
         try (CSVPrinter out = openCsv(RESULTS_FILE, RESULT_COLUMNS)) {
-            for (ExperimentRunner.DayResult t : trials) {
-                DeliveryMetrics f = t.metrics();
-                out.printRecord(experiment.about().about(), how, experiment.sweep().figure(), t.value(), t.dispatcher(), t.seed(), f.mails(),
-                        f.delivered(), f.inTime(), f.importance(), f.deliveredImportance(), f.calls(), f.violations(), f.delayPercentileMs(50),
-                        f.delayPercentileMs(99), f.delayPercentileMs(99.9), f.delays().getMaxValue() / 1000.0, t.fingerprint());
+            for (ExperimentRunner.DayResult result : results) {
+                DeliveryMetrics metrics = result.metrics();
+                out.printRecord(experiment.about().about(), mode, experiment.sweep().figure(), result.value(), result.dispatcher(),
+                        result.seed(), metrics.mails(), metrics.delivered(), metrics.inTime(), metrics.importance(), metrics.deliveredImportance(),
+                        metrics.calls(), metrics.violations(), metrics.delayPercentileMs(50), metrics.delayPercentileMs(99),
+                        metrics.delayPercentileMs(99.9), metrics.delays().getMaxValue() / 1000.0, result.fingerprint());
             }
         }
     }
 
-    private void writeDelays(List<ExperimentRunner.DayResult> trials, String how) throws IOException {
+    private void writeDelays(List<ExperimentRunner.DayResult> results, String mode) throws IOException {
         try (PrintStream to = new PrintStream(Files.newOutputStream(partialFolder.resolve(DELAYS_FILE)), false, StandardCharsets.UTF_8)) {
             HistogramLogWriter log = new HistogramLogWriter(to);
-            log.outputComment("[" + how + ": delays in microseconds, from the instant a writer had the mail ready]");
+            log.outputComment("[" + mode + ": delays in microseconds, from the instant a writer had the mail ready]");
             log.outputLogFormatVersion();
             log.outputLegend();
-            ExperimentRunner.mergeDays(trials).forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) -> {
-                Histogram delays = figures.delays();
+            ExperimentRunner.mergeDays(results).forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, metrics) -> {
+                Histogram delays = metrics.delays();
                 delays.setTag(pointTag(value, dispatcher));
                 delays.setStartTimeStamp(0);
                 delays.setEndTimeStamp(1000);
@@ -107,25 +116,26 @@
         }
     }
 
+    /** The name of a point of the sweep in the files. */
     private static String pointTag(int value, String dispatcher) {
         return value + "/" + dispatcher.replace(' ', '_');
     }
 
-    private void writeBreakers(List<ExperimentRunner.DayResult> trials) throws IOException {
+    private void writeBreakers(List<ExperimentRunner.DayResult> results) throws IOException {
         try (CSVPrinter out = openCsv(BREAKERS_FILE, "value", "dispatcher", "seed", "at_ns", "open", "half_open")) {
-            for (ExperimentRunner.DayResult t : trials) {
-                for (DeliveryMetrics.BreakerCounts p : t.metrics().breakerHistory()) {
-                    out.printRecord(t.value(), t.dispatcher(), t.seed(), p.at(), p.open(), p.halfOpen());
+            for (ExperimentRunner.DayResult result : results) {
+                for (DeliveryMetrics.BreakerCounts p : result.metrics().breakerHistory()) {
+                    out.printRecord(result.value(), result.dispatcher(), result.seed(), p.at(), p.open(), p.halfOpen());
                 }
             }
         }
     }
 
-    private void writeTiming(List<ExperimentRunner.DayResult> trials) throws IOException {
+    private void writeTiming(List<ExperimentRunner.DayResult> results) throws IOException {
         try (CSVPrinter out = openCsv(TIMING_FILE, "value", "dispatcher", "seed", "emulated_s", "took_s", "emulated_s_a_second")) {
-            for (ExperimentRunner.DayResult t : trials) {
-                out.printRecord(t.value(), t.dispatcher(), t.seed(), formatSeconds(t.emulatedNanos()), formatSeconds(t.tookNanos()),
-                        String.format(Locale.ROOT, "%.2f", t.emulatedNanos() / (double) t.tookNanos()));
+            for (ExperimentRunner.DayResult result : results) {
+                out.printRecord(result.value(), result.dispatcher(), result.seed(), formatSeconds(result.emulatedNanos()), formatSeconds(result.tookNanos()),
+                        String.format(Locale.ROOT, "%.2f", result.emulatedNanos() / (double) result.tookNanos()));
             }
         }
     }
@@ -134,7 +144,7 @@
         return String.format(Locale.ROOT, "%.3f", nanos / 1e9);
     }
 
-    /** A run as its folder tells it. */
+    /** Reads a run from its folder; an IOException tells what is missing or invalid. */
     static Run read(Path folder) throws IOException {
         Map<String, Histogram> delays = new LinkedHashMap<>();
         try (HistogramLogReader log = new HistogramLogReader(folder.resolve(DELAYS_FILE).toFile())) {
@@ -152,18 +162,18 @@
             }
         }
         String about = "";
-        String how = "";
+        String mode = "";
         String figure = "";
         Map<Integer, Map<String, List<DeliveryMetrics>>> days = new LinkedHashMap<>();
         for (CSVRecord line : readRecords(folder.resolve(RESULTS_FILE))) {
             about = line.get("about");
-            how = line.get("how");
+            mode = line.get("how");
             figure = line.get("figure");
             int value = intColumn(line, "value");
             String point = pointTag(value, line.get("dispatcher"));
             List<DeliveryMetrics> ofPoint = days.computeIfAbsent(value, v -> new LinkedHashMap<>())
                     .computeIfAbsent(line.get("dispatcher"), d -> new ArrayList<>());
-            // The delays stand by points: they come with a point's first day.
+            // Delays are stored by point, not by day, so the first day of a point gets all of them.
             Histogram own = ofPoint.isEmpty() ? delays.getOrDefault(point, DeliveryMetrics.newDelayHistogram()) : DeliveryMetrics.newDelayHistogram();
             ofPoint.add(new DeliveryMetrics(intColumn(line, "mails"), intColumn(line, "delivered"), intColumn(line, "in_time"),
                     Double.parseDouble(line.get("importance")), Double.parseDouble(line.get("delivered_importance")),
@@ -175,7 +185,7 @@
         Map<Integer, Map<String, DeliveryMetrics>> merged = new LinkedHashMap<>();
         days.forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, figures) -> merged
                 .computeIfAbsent(value, v -> new LinkedHashMap<>()).put(dispatcher, DeliveryMetrics.merge(figures))));
-        return new Run(about, how, figure, merged);
+        return new Run(about, mode, figure, merged);
     }
 
     private static List<CSVRecord> readRecords(Path file) throws IOException {
@@ -195,7 +205,7 @@
         }
     }
 
-    /** Takes away what was begun, if the folder has not got its name. */
+    /** Removes the partial folder, if the run was not completed. */
     @Override public void close() throws IOException {
         ProcessTrials.deleteFolder(partialFolder);
     }
--- a/lab/src/main/java/wrenreach/lab/Scenario.java
+++ b/lab/src/main/java/wrenreach/lab/Scenario.java
@@ -14,13 +14,15 @@
 import wrenreach.api.Settings.Effect;
 
 /**
- * One day to play: who is there, how much comes, what goes wrong. As text one statement a line; what it does not say is
- * drawn from the seed. classes empty: one class, how often its mails may take effect following from the seed.
+ * One day, that is one run of a fleet: the fleet's size, its traffic and a schedule of faults. As text it has one statement a
+ * line; what the text does not say is drawn from the seed. If classes is empty there is one class, whose effect follows from the
+ * seed.
  */
 record Scenario(long seed, Map<Figure, Integer> figures, List<QueueClass> classes, List<Fault> faults) {
+    /** The largest whole number that a scenario's text may hold. */
     static final int MAX_NUMBER = 100_000_000;
 
-    /** The numbers of a day; ledger: 1 the journal, 2 the store; the rate in mails a second over all nodes, the length in ms. */
+    /** The numeric parameters of a day. LEDGER: 1 is the journal, 2 the store; RATE: mails a second over all nodes; LENGTH: ms. */
     enum Figure {
         NODES(1), DESTINATIONS(1), ENDPOINTS(1), ZONES(1), LEDGER(1), RATE(20), LENGTH(10_000);
 
@@ -30,19 +32,19 @@
             this.defaultValue = byDefault;
         }
 
-        /** As it stands in a file. */
+        /** The parameter's name in a file. */
         String keyword() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** What a fault is of. */
+    /** What a fault strikes: one or some nodes, receivers, links, sets of parties, or always all nodes. */
     enum TargetType { NODE, RECEIVER, LINK, SETS, NODES }
 
-    /** Where a fault can be played. */
+    /** Where a fault can be played: in memory (virtual time), with node processes, or both. */
     enum Environment { BOTH, MEMORY, PROCESSES }
 
-    /** What may go wrong. New ones are added at the end: drawn days go by the order. */
+    /** The kinds of faults. New ones are added at the end: the days that are generated from a seed depend on the order. */
     enum Kind {
         KILL(TargetType.NODE, Environment.BOTH), KILL_WRITTEN(TargetType.NODE, Environment.MEMORY), KILL_TORN(TargetType.NODE, Environment.MEMORY),
         VANISH_NODE(TargetType.NODE, Environment.BOTH), STOP(TargetType.NODE, Environment.BOTH), RELOAD(TargetType.NODE, Environment.BOTH),
@@ -50,34 +52,37 @@
         CUT_RECEIVER(TargetType.NODE, Environment.BOTH), CUT_CLIENTS(TargetType.NODE, Environment.BOTH), DOWN(TargetType.RECEIVER, Environment.BOTH),
         VANISH(TargetType.RECEIVER, Environment.BOTH), SILENT(TargetType.RECEIVER, Environment.BOTH), SLOW(TargetType.RECEIVER, Environment.BOTH),
         FULL(TargetType.RECEIVER, Environment.BOTH), ERRING(TargetType.RECEIVER, Environment.BOTH), DRAIN(TargetType.RECEIVER, Environment.BOTH),
-        /** The process stands still (SIGSTOP) and goes on (SIGCONT). */
+        /** The process is suspended (SIGSTOP) and later resumed (SIGCONT). */
         FREEZE(TargetType.NODE, Environment.BOTH),
-        /** A planned stop that the process does not hear; it is killed after the platform's patience. */
+        /** A planned stop whose signal the process ignores; the platform kills it after its stop timeout. */
         IGNORES_TERM(TargetType.NODE, Environment.BOTH),
-        /** It is killed, and every start fails until the fault is over. */
+        /** The process is killed, and every start fails until the fault is over. */
         BROKEN_START(TargetType.NODE, Environment.BOTH),
-        /** It is killed at once, and the next process stands still for so long right after its start. */
+        /** The process is killed at once, and the next one is suspended for the length of the fault right after its start. */
         SLOW_START(TargetType.NODE, Environment.BOTH),
-        /** It is killed; its state folder is lost, or as it was when the fault began, or can't be written until it is over. */
+        /**
+         * The process is killed; its state folder is lost, or as it was when the fault began, or read-only until the fault is over.
+         */
         LOSE_STATE(TargetType.NODE, Environment.BOTH), OLD_STATE(TargetType.NODE, Environment.BOTH), READONLY_STATE(TargetType.NODE, Environment.BOTH),
         CUT(TargetType.LINK, Environment.BOTH), REFUSE(TargetType.LINK, Environment.BOTH),
         /** A share of the links is reset at once; figure: the share, all by default. */
         RESET(TargetType.LINK, Environment.BOTH),
-        DELAY(TargetType.LINK, Environment.BOTH), RATE(TargetType.LINK, Environment.BOTH), HALF(TargetType.LINK, Environment.BOTH), LOSS(TargetType.LINK, Environment.BOTH),
+        DELAY(TargetType.LINK, Environment.BOTH), RATE(TargetType.LINK, Environment.BOTH), HALF(TargetType.LINK, Environment.BOTH),
+        LOSS(TargetType.LINK, Environment.BOTH),
         DOUBLING(TargetType.LINK, Environment.BOTH), REORDERING(TargetType.LINK, Environment.BOTH),
-        /** The relay that carries the link dies with all its connections, and is there again after so long. */
+        /** The relay that carries the link dies with all its connections, and is back when the fault is over. */
         RELAY_DIES(TargetType.LINK, Environment.BOTH),
-        /** Nothing passes between sets of parties: n0,n1|n2,platform. */
+        /** Nothing passes between the sets of parties, such as n0,n1|n2,platform. */
         PARTITION(TargetType.SETS, Environment.BOTH),
-        /** It hears all and is heard by none; or the other way about. */
+        /** MUTE: the node receives, but nothing that it sends arrives. DEAF: the other way round. */
         MUTE(TargetType.NODE, Environment.BOTH), DEAF(TargetType.NODE, Environment.BOTH),
-        /** Nodes hear only those before and after them. */
+        /** Each node is connected only to the nodes before and after it. */
         RING(TargetType.NODES, Environment.BOTH),
-        /** Calls that the node's process makes to its machine fail; figure: the share, more: the errno, 0 for a drawn one. */
+        /** System calls of the node's process fail; figure: the share that fails, more: the errno, 0 for a random one. */
         SOCKET_FAILS(TargetType.NODE, Environment.PROCESSES), CONNECT_FAILS(TargetType.NODE, Environment.PROCESSES), ACCEPT_FAILS(TargetType.NODE, Environment.PROCESSES),
         TRANSFER_FAILS(TargetType.NODE, Environment.PROCESSES), SHORT_TRANSFERS(TargetType.NODE, Environment.PROCESSES),
         WAITS_INTERRUPTED(TargetType.NODE, Environment.PROCESSES), FOLDER_FAILS(TargetType.NODE, Environment.PROCESSES),
-        /** The wall clock of the node's machine is stepped, by so many seconds, and back again when the fault is over. */
+        /** The wall clock of the node's machine is stepped by figure seconds, and back again when the fault is over. */
         WALL_AHEAD(TargetType.NODE, Environment.PROCESSES), WALL_BEHIND(TargetType.NODE, Environment.PROCESSES),
         /** The process is killed in the middle of its next write to the state folder. */
         KILL_IN_WRITE(TargetType.NODE, Environment.PROCESSES);
@@ -85,16 +90,16 @@
         final TargetType targetType;
         final Environment environment;
 
-        Kind(TargetType of, Environment where) {
-            this.targetType = of;
-            this.environment = where;
+        Kind(TargetType targetType, Environment environment) {
+            this.targetType = targetType;
+            this.environment = environment;
         }
 
         String keyword() {
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** Which of the process's system calls it makes fail; null: none. */
+        /** The system call of the process that the fault makes fail; null: none. */
         SystemCallFaults.Call failingCall() {
             return switch (this) {
                 case SOCKET_FAILS -> SystemCallFaults.Call.SOCKET;
@@ -109,9 +114,9 @@
         }
     }
 
-    /** What is seen from outside and counted: a fault may wait until it has been seen so often of one party. */
+    /** The trigger of a fault that has no fixed time: it begins once an event has been observed count times of one party. */
     record Once(Seen seen, String party, int count) {
-        /** What clients, receivers and the platform see. */
+        /** Events that clients, receivers and the platform observe. */
         enum Seen { TAKEN, DELIVERED, CALLED, NOTICED, DIED, SERVES }
 
         String text() {
@@ -120,17 +125,17 @@
     }
 
     /**
-     * One fault: from an instant on, or once something has been seen, for so long, in milliseconds. target: which one (a
-     * number, taken modulo how many there are; third, half, all), or links (A-B both ways, A>B one way), or sets; figure, more:
-     * of a link's trouble, see {@link wrenreach.relay.Trouble}.
+     * One fault: it begins at atMs, or once its trigger is met, and lasts forMs milliseconds. target: which node or receiver (a
+     * number, taken modulo how many there are; third, half, all), or links (A-B both ways, A>B one way), or sets of parties.
+     * figure, more: parameters of a link's impairment, see {@link wrenreach.relay.Trouble}.
      */
     record Fault(Kind kind, String target, double figure, double more, int atMs, Once once, int forMs) {
         Fault(Kind kind, int which, int atMs, int forMs) {
             this(kind, Integer.toString(which), 0, 0, atMs, null, forMs);
         }
 
-        /** Which of so many it strikes. */
-        List<Integer> targetIndexes(int many) {
+        /** The indexes that the fault strikes, out of so many. */
+        List<Integer> targetIndexes(int count) {
             int step = switch (target) {
                 case "all" -> 1;
                 case "half" -> 2;
@@ -138,9 +143,9 @@
                 default -> 0;
             };
             if (step == 0) {
-                return List.of(Math.floorMod(Integer.parseInt(target), many));
+                return List.of(Math.floorMod(Integer.parseInt(target), count));
             }
-            return IntStream.range(0, many).filter(i -> i % step == 0).boxed().toList();
+            return IntStream.range(0, count).filter(i -> i % step == 0).boxed().toList();
         }
 
         String text() {
@@ -148,7 +153,7 @@
         }
     }
 
-    /** One queue class; share: of the mails, against the shares of the others. Times in milliseconds. */
+    /** One queue class; share: its weight among the classes when a mail's class is drawn. Times in milliseconds. */
     record QueueClass(String name, Effect effect, double importance, int targetMs, int lifetimeMs, int share) {
         String text() {
             return String.format(Locale.ROOT, "class %s %s importance %s target %d lifetime %d share %d", name,
@@ -156,10 +161,10 @@
         }
     }
 
-    /** A scenario can't be read; the message names its line. */
+    /** A scenario's text is invalid; the message names the line. */
     static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1;
-        /** Counted from one. */
+        /** The line's number, from 1. */
         final int line;
 
         InvalidScenarioException(int line, String what) {
@@ -194,7 +199,7 @@
         return figures.get(Figure.ZONES);
     }
 
-    /** Whether nodes keep what they owe in the store. */
+    /** Whether nodes keep their accepted mails in the store instead of the journal. */
     boolean usesStore() {
         return figures.get(Figure.LEDGER) == 2;
     }
@@ -207,13 +212,13 @@
         return figures.get(Figure.LENGTH);
     }
 
-    /** The classes that the day is played with. */
+    /** The classes that the day is played with: those given, or else one whose effect follows from the seed. */
     List<QueueClass> effectiveClasses() {
         return classes.isEmpty() ? List.of(new QueueClass("order", Effect.values()[(int) Math.floorMod(seed + 1, 3L)], 1, 2000,
                 8000, 1)) : classes;
     }
 
-    /** A small fleet with a few faults, drawn from the seed. */
+    /** A small fleet with a few faults, generated from the seed; the same seed always gives the same scenario. */
     static Scenario generate(long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 31 + 7);
         int length = 6000 + random.nextInt(8000);
@@ -244,7 +249,7 @@
         return new Scenario(seed, figures, classes, faults);
     }
 
-    /** A fault of this kind on whom the number says. */
+    /** A fault of this kind whose target follows from the number; at and length in milliseconds. */
     private static Fault generate(Kind kind, int number, Map<Figure, Integer> figures, int at, int length) {
         String node = "n" + number % figures.get(Figure.NODES);
         String receiver = "r" + number % (figures.get(Figure.DESTINATIONS) * figures.get(Figure.ENDPOINTS));
@@ -263,7 +268,7 @@
         return new Fault(kind, target, figure, kind == Kind.DELAY || kind == Kind.REORDERING ? 50 : 0, at, null, length);
     }
 
-    /** What of it can't be played: in memory, or by processes where real; empty: all can. */
+    /** Why the scenario can't be played, in memory or (real) with processes; empty if it can. */
     List<String> objections(boolean real) {
         List<String> all = new ArrayList<>();
         for (Fault fault : faults) {
@@ -280,8 +285,8 @@
         return all.stream().distinct().toList();
     }
 
-    Scenario with(List<Fault> fewer) {
-        return new Scenario(seed, figures, classes, fewer);
+    Scenario with(List<Fault> newFaults) {
+        return new Scenario(seed, figures, classes, newFaults);
     }
 
     Scenario with(Figure figure, int value) {
@@ -290,8 +295,8 @@
         return new Scenario(seed, changed, classes, faults);
     }
 
-    Scenario withSeed(long other) {
-        return new Scenario(other, figures, classes, faults);
+    Scenario withSeed(long newSeed) {
+        return new Scenario(newSeed, figures, classes, faults);
     }
 
     /** The scenario as text that {@link #parse} reads. */
@@ -303,6 +308,7 @@
         return text.toString();
     }
 
+    /** Reads what {@link #text} writes; a # begins a comment. */
     static Scenario parse(List<String> lines) throws InvalidScenarioException {
         long seed = 1;
         Map<Figure, Integer> figures = new EnumMap<>(Figure.class);
@@ -338,7 +344,7 @@
         return new Scenario(seed, figures, classes, faults);
     }
 
-    /** A class as NAME EFFECT importance X target MS lifetime MS share N. */
+    /** Reads a class of the form NAME EFFECT importance X target MS lifetime MS share N. */
     static QueueClass parseQueueClass(String text) {
         String[] words = text.split("\\s+");
         if (words.length != 10 || !words[2].equals("importance") || !words[4].equals("target") || !words[6].equals("lifetime")
@@ -355,12 +361,14 @@
         return read;
     }
 
+    /** The constant of this name in any case; throws IllegalArgumentException with the known names if there is none. */
     static <E extends Enum<E>> E parseEnum(E[] all, String word) {
         return Arrays.stream(all).filter(one -> one.name().equalsIgnoreCase(word)).findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(word + " is not known: there are "
                         + String.join(", ", Arrays.stream(all).map(one -> one.name().toLowerCase(Locale.ROOT)).toList())));
     }
 
+    /** Reads a whole number from 1 to {@link #MAX_NUMBER}; throws IllegalArgumentException for all else. */
     static int parsePositive(String word) {
         int value = word.matches("\\d{1,9}") ? Integer.parseInt(word) : 0;
         if (value <= 0 || value > MAX_NUMBER) {
--- a/lab/src/main/java/wrenreach/lab/ScenarioShrinker.java
+++ b/lab/src/main/java/wrenreach/lab/ScenarioShrinker.java
@@ -6,9 +6,9 @@
 import wrenreach.api.Dispatcher;
 import wrenreach.api.Settings;
 
-/** Looks for scenarios that break a rule, and cuts one down to what still breaks the same rule. */
+/** Checks scenarios for rule violations, and shrinks one to a smaller scenario that still violates the same rule. */
 final class ScenarioShrinker {
-    /** Plays that a shrinking may take. */
+    /** After so many plays a shrinking stops at the next smaller scenario or when none is found. */
     private static final int MAX_PLAYS = 200;
 
     private final Function<Settings, Dispatcher> dispatcherFactory;
@@ -18,56 +18,57 @@
         this.dispatcherFactory = module;
     }
 
-    /** What a scenario breaks. */
+    /** Plays the scenario in virtual time; its violations. */
     List<Rules.Violation> violations(Scenario scenario) {
         ScenarioRun play = ScenarioRun.of(scenario, dispatcherFactory);
         return Rules.judge(scenario, play.world.facts, play.settings, play.world.now());
     }
 
-    /** The smallest scenario found that still breaks the rule: fewest faults, nodes, receivers, mails, time. */
-    Scenario shrink(Scenario broken, Rules.Rule rule) {
+    /** The smallest scenario found that still violates the rule: fewest faults, classes, nodes, receivers, mails, time. */
+    Scenario shrink(Scenario scenario, Rules.Rule rule) {
         playCount = 0;
-        Scenario least = broken;
+        Scenario smallest = scenario;
         for (boolean smaller = true; smaller && playCount < MAX_PLAYS;) {
             smaller = false;
-            for (Scenario next : smallerVariants(least)) {
+            for (Scenario next : smallerVariants(smallest)) {
                 playCount++;
                 if (violations(next).stream().anyMatch(one -> one.rule() == rule)) {
-                    least = next;
+                    smallest = next;
                     smaller = true;
                     break;
                 }
             }
         }
-        return least;
+        return smallest;
     }
 
-    private static List<Scenario> smallerVariants(Scenario s) {
+    /** Each scenario that is one step smaller; the most effective steps come first. */
+    private static List<Scenario> smallerVariants(Scenario scenario) {
         List<Scenario> all = new ArrayList<>();
-        for (int i = 0; i < s.faults().size(); i++) {
-            List<Scenario.Fault> fewer = new ArrayList<>(s.faults());
+        for (int i = 0; i < scenario.faults().size(); i++) {
+            List<Scenario.Fault> fewer = new ArrayList<>(scenario.faults());
             fewer.remove(i);
-            all.add(s.with(fewer));
+            all.add(scenario.with(fewer));
         }
-        for (int i = 0; s.classes().size() > 1 && i < s.classes().size(); i++) {
-            List<Scenario.QueueClass> fewer = new ArrayList<>(s.classes());
+        for (int i = 0; scenario.classes().size() > 1 && i < scenario.classes().size(); i++) {
+            List<Scenario.QueueClass> fewer = new ArrayList<>(scenario.classes());
             fewer.remove(i);
-            all.add(new Scenario(s.seed(), s.figures(), fewer, s.faults()));
+            all.add(new Scenario(scenario.seed(), scenario.figures(), fewer, scenario.faults()));
         }
-        if (s.nodes() > 1) {
-            all.add(s.with(Scenario.Figure.NODES, s.nodes() - 1));
+        if (scenario.nodes() > 1) {
+            all.add(scenario.with(Scenario.Figure.NODES, scenario.nodes() - 1));
         }
         for (Scenario.Figure figure : List.of(Scenario.Figure.DESTINATIONS, Scenario.Figure.ENDPOINTS, Scenario.Figure.ZONES,
                 Scenario.Figure.LEDGER)) {
-            if (s.figures().get(figure) > 1) {
-                all.add(s.with(figure, 1));
+            if (scenario.figures().get(figure) > 1) {
+                all.add(scenario.with(figure, 1));
             }
         }
-        if (s.rate() > 4) {
-            all.add(s.with(Scenario.Figure.RATE, s.rate() / 2));
+        if (scenario.rate() > 4) {
+            all.add(scenario.with(Scenario.Figure.RATE, scenario.rate() / 2));
         }
-        if (s.lengthMs() > 2000) {
-            all.add(s.with(Scenario.Figure.LENGTH, s.lengthMs() * 3 / 4));
+        if (scenario.lengthMs() > 2000) {
+            all.add(scenario.with(Scenario.Figure.LENGTH, scenario.lengthMs() * 3 / 4));
         }
         return all;
     }
--- a/lab/src/main/java/wrenreach/lab/Soak.java
+++ b/lab/src/main/java/wrenreach/lab/Soak.java
@@ -13,11 +13,12 @@
 import java.util.concurrent.Future;
 
 /**
- * Plays drawn days on fleets of processes, judges each by the rules, and cuts one that breaks a rule down to its fewest faults. Each
- * day's logs and its text are kept in the folder; the text can be played again.
+ * The soak test: plays days that are generated from seeds on fleets of processes, checks each against the rules, and shrinks one that
+ * violates a rule to as few faults as possible. Each day's logs and the text of a failed day are kept in the folder; the text can be
+ * played again.
  */
 final class Soak {
-    /** Plays that the cutting down of one day may take: each lasts as long as the day. */
+    /** Replays that the shrinking of one day may take; each takes as long as the day, since processes run in real time. */
     private static final int MAX_REPLAYS = 8;
 
     private final Path folder;
@@ -28,7 +29,7 @@
         this.out = out;
     }
 
-    /** Plays the days of these seeds, so many at a time; how many broke a rule or could not be played. */
+    /** Plays the days of these seeds, jobs at a time; returns how many violated a rule or could not be played. */
     int play(long from, long to, int jobs) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         ExecutorService pool = Executors.newFixedThreadPool(jobs);
@@ -51,59 +52,60 @@
         return failed;
     }
 
-    /** Plays one day's text again; whether it kept the rules. */
+    /** Plays a day again from its file; whether no rule was violated. */
     boolean replay(Path file) throws IOException, Scenario.InvalidScenarioException {
         Scenario day = Scenario.parse(Files.readAllLines(file));
-        List<String> broken = violations(day, folder.resolve("again"));
-        broken.forEach(what -> out.println("BROKEN " + what));
-        out.println(broken.isEmpty() ? "all rules kept" : broken.size() + " breaks");
-        return broken.isEmpty();
+        List<String> violations = violations(day, folder.resolve("again"));
+        violations.forEach(what -> out.println("BROKEN " + what));
+        out.println(violations.isEmpty() ? "all rules kept" : violations.size() + " breaks");
+        return violations.isEmpty();
     }
 
+    /** Plays a day and prints its result; if it fails, writes its text and shrinks it. Whether no rule was violated. */
     private boolean playAndReport(Scenario day) throws IOException {
         long begin = System.nanoTime();
-        List<String> broken = violations(day, folder.resolve("seed-" + day.seed()));
+        List<String> violations = violations(day, folder.resolve("seed-" + day.seed()));
         printLine(String.format(Locale.ROOT, "seed %d: %s; %d nodes, %d faults, %.0f s", day.seed(),
-                broken.isEmpty() ? "kept" : "BROKEN " + broken.get(0), day.nodes(), day.faults().size(), (System.nanoTime() - begin) / 1e9));
-        if (broken.isEmpty()) {
+                violations.isEmpty() ? "kept" : "BROKEN " + violations.get(0), day.nodes(), day.faults().size(), (System.nanoTime() - begin) / 1e9));
+        if (violations.isEmpty()) {
             return true;
         }
         Path file = folder.resolve("seed-" + day.seed() + ".day");
-        Files.writeString(file, "# " + broken.get(0) + System.lineSeparator() + day.text());
+        Files.writeString(file, "# " + violations.get(0) + System.lineSeparator() + day.text());
         printLine("seed " + day.seed() + ": play it again with: bin/wrenreach lab soak --day " + file);
-        shrink(day, broken.get(0));
+        shrink(day, violations.get(0));
         return false;
     }
 
-    /** Leaves faults out one after the other while the same rule still breaks. */
-    private void shrink(Scenario broken, String what) throws IOException {
-        String rule = what.replaceFirst(":.*", "");
-        Scenario least = broken;
+    /** Leaves out one fault after the other as long as the same rule is still violated. */
+    private void shrink(Scenario day, String violation) throws IOException {
+        String rule = violation.replaceFirst(":.*", "");
+        Scenario smallest = day;
         int plays = 0;
-        for (int i = 0; i < least.faults().size() && plays < MAX_REPLAYS;) {
-            List<Scenario.Fault> fewer = new ArrayList<>(least.faults());
+        for (int i = 0; i < smallest.faults().size() && plays < MAX_REPLAYS;) {
+            List<Scenario.Fault> fewer = new ArrayList<>(smallest.faults());
             fewer.remove(i);
             plays++;
-            Scenario next = least.with(fewer);
-            if (violations(next, folder.resolve("seed-" + broken.seed() + "-shrunk")).stream().anyMatch(one -> one.startsWith(rule))) {
-                least = next;
+            Scenario next = smallest.with(fewer);
+            if (violations(next, folder.resolve("seed-" + day.seed() + "-shrunk")).stream().anyMatch(one -> one.startsWith(rule))) {
+                smallest = next;
             } else {
                 i++;
             }
         }
-        Path file = folder.resolve("seed-" + broken.seed() + "-least.day");
-        Files.writeString(file, "# " + what + System.lineSeparator() + least.text());
-        printLine(String.format(Locale.ROOT, "seed %d: %d of %d faults are left after %d plays, see %s", broken.seed(), least.faults().size(),
-                broken.faults().size(), plays, file));
+        Path file = folder.resolve("seed-" + day.seed() + "-least.day");
+        Files.writeString(file, "# " + violation + System.lineSeparator() + smallest.text());
+        printLine(String.format(Locale.ROOT, "seed %d: %d of %d faults are left after %d plays, see %s", day.seed(), smallest.faults().size(),
+                day.faults().size(), plays, file));
     }
 
-    /** What the day breaks, each as "RULE: what"; a day that can't be played is told as such. */
+    /** Plays a day; its violations, each as "RULE: what". A day that can't be played gives one entry that says so. */
     private List<String> violations(Scenario day, Path logs) throws IOException {
         Files.createDirectories(logs);
         try {
-            ExperimentRunner.DayResult trial = ProcessTrials.playDay(day, Experiment.Setup.NONE, 1, logs);
-            trial.verdict().inconclusive().forEach(one -> printLine("seed " + day.seed() + ": can't tell of " + one.rule() + ": " + one.what()));
-            return trial.violations().stream().map(one -> one.rule() + ": " + one.what()).toList();
+            ExperimentRunner.DayResult result = ProcessTrials.playDay(day, Experiment.Setup.NONE, 1, logs);
+            result.verdict().inconclusive().forEach(one -> printLine("seed " + day.seed() + ": can't tell of " + one.rule() + ": " + one.what()));
+            return result.violations().stream().map(one -> one.rule() + ": " + one.what()).toList();
         } catch (IOException e) {
             return List.of("NOT PLAYED: " + e.getMessage());
         } catch (InterruptedException e) {
@@ -112,6 +114,7 @@
         }
     }
 
+    /** Days are played in parallel, so each line is printed as a whole. */
     private void printLine(String line) {
         synchronized (out) {
             out.println(line);
--- a/lab/src/main/java/wrenreach/lab/SoakDay.java
+++ b/lab/src/main/java/wrenreach/lab/SoakDay.java
@@ -10,12 +10,28 @@
 import wrenreach.api.Settings.Effect;
 
 /**
- * Draws one day of the soak from its seed: a fleet of processes, its traffic, and one to four troubles. A trouble is one fault or a
- * series of them, of the process (signals, reloads), of its machine (system calls, clock, folder), of its receivers or of its links.
+ * Generates one day of the soak test from its seed: a fleet of processes, its traffic, and one to four incidents. An incident is one
+ * fault or a series of them, of a process (signals, reloads), of its machine (system calls, clock, folder), of its receivers or of its
+ * links. The order of the calls of the random generator decides what a seed stands for.
  */
 final class SoakDay {
-    private static final int MAX_INCIDENTS = 4, MAX_SMALL_FLEET_NODES = 5, LARGE_FLEET_NODES = 20, LARGE_FLEET_ONE_IN = 12;
-    private static final int LENGTH_MS = 9000, QUIET_MS = 5000, EARLIEST_MS = 700, LATEST_MS = 5500;
+    /** Incidents of a day, at most. */
+    private static final int MAX_INCIDENTS = 4;
+    /** Nodes of a fleet that is not a large one, at most. */
+    private static final int MAX_SMALL_FLEET_NODES = 5;
+    /** Nodes of a large fleet. */
+    private static final int LARGE_FLEET_NODES = 20;
+    /** One fleet in so many is a large one, on average. */
+    private static final int LARGE_FLEET_ONE_IN = 12;
+    /** The time in which mails come, in milliseconds, without a quiet time. */
+    private static final int LENGTH_MS = 9000;
+    /** The time without faults at the begin of some days, in milliseconds. */
+    private static final int QUIET_MS = 5000;
+    /** Incidents begin at least so long after the quiet time, in milliseconds. */
+    private static final int EARLIEST_MS = 700;
+    /** Incidents begin before this time after the quiet time, in milliseconds. */
+    private static final int LATEST_MS = 5500;
+    /** The largest share of a kind of system calls that is drawn to fail; short transfers get up to twice this share. */
     private static final double MAX_FAILURE_SHARE = 0.3;
 
     private final UniformRandomProvider random;
@@ -32,10 +48,10 @@
     /** The day of this seed. */
     static Scenario generate(long seed) {
         SoakDay day = new SoakDay(seed);
-        // Some troubles come only after a long quiet time.
+        // On some days the incidents come only after a long time without faults.
         int quiet = day.random.nextInt(4) == 0 ? QUIET_MS : 0;
-        int troubles = 1 + day.random.nextInt(MAX_INCIDENTS);
-        for (int i = 0; i < troubles; i++) {
+        int incidents = 1 + day.random.nextInt(MAX_INCIDENTS);
+        for (int i = 0; i < incidents; i++) {
             day.addIncident(quiet + EARLIEST_MS + day.random.nextInt(LATEST_MS - EARLIEST_MS));
         }
         Map<Scenario.Figure, Integer> figures = new EnumMap<>(Scenario.Figure.class);
--- a/lab/src/main/java/wrenreach/lab/Story.java
+++ b/lab/src/main/java/wrenreach/lab/Story.java
@@ -12,12 +12,14 @@
 import wrenreach.DeliveryDispatcher;
 
 /**
- * A day of an in-memory fleet, told in steps: what is given, what goes wrong, and what came of it over several seeds. The same
- * faults, stand-ins and oracles as everywhere in the lab. Times in milliseconds unless they say so.
+ * A test scenario of an in-memory fleet, built in steps: the fleet and its traffic, the faults, then the results over several seeds.
+ * It uses the same faults, simulated peers and rules as the rest of the lab. Times are in milliseconds unless noted otherwise.
  */
 public final class Story {
-    /** Lines of a timeline that are shown before and after a breach. */
-    private static final int LINES_BEFORE = 25, LINES_AFTER = 5;
+    /** Lines of the timeline that are shown up to a violation. */
+    private static final int LINES_BEFORE = 25;
+    /** Lines of the timeline that are shown after a violation. */
+    private static final int LINES_AFTER = 5;
     private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final Map<Scenario.Figure, Integer> figures = new EnumMap<>(Scenario.Figure.class);
@@ -37,32 +39,32 @@
         return this;
     }
 
-    /** Mails a second over all nodes, for so long. */
+    /** rate: mails a second over all nodes. */
     public Story traffic(int rate, int lengthMs) {
         figures.put(Scenario.Figure.RATE, rate);
         figures.put(Scenario.Figure.LENGTH, lengthMs);
         return this;
     }
 
-    /** NAME EFFECT importance X target MS lifetime MS share N. */
+    /** Adds a class of the form NAME EFFECT importance X target MS lifetime MS share N. */
     public Story queueClass(String text) {
         classes.add(Scenario.parseQueueClass(text));
         return this;
     }
 
-    /** What nodes owe is kept in the store in place of the journal. */
+    /** Nodes keep accepted mails in the store instead of the journal. */
     public Story store() {
         figures.put(Scenario.Figure.LEDGER, 2);
         return this;
     }
 
-    /** A fault as experiments have it; throws IllegalArgumentException where it is none. */
+    /** Adds a fault, written as in experiments; throws IllegalArgumentException if the text is invalid. */
     public Story fault(String text) {
         faults.addAll(FaultText.parse(text, figures.getOrDefault(Scenario.Figure.LENGTH, Scenario.Figure.LENGTH.defaultValue)));
         return this;
     }
 
-    /** Plays the day with each seed from 1 on. */
+    /** Plays the scenario once with each seed from 1 to seeds. */
     public void play(int seeds) {
         plays.clear();
         for (int seed = 1; seed <= seeds; seed++) {
@@ -74,21 +76,21 @@
         }
     }
 
-    /** The rules that broke, with the timeline of the first breach; empty: none did. */
+    /** Up to five violations of the first day that has any, with the timeline around the first of them; empty if there is none. */
     public String breaches() {
-        StringBuilder told = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (ScenarioRun play : plays) {
             List<Rules.Violation> breaks = Rules.judge(play.scenario, play.world.facts, play.settings, play.world.now());
             if (!breaks.isEmpty()) {
-                breaks.stream().limit(5).forEach(one -> told.append(String.format(Locale.ROOT, "seed %d, %.3f s: %s: %s%n",
+                breaks.stream().limit(5).forEach(one -> text.append(String.format(Locale.ROOT, "seed %d, %.3f s: %s: %s%n",
                         play.scenario.seed(), (one.at() - World.START_NS) / 1e9, one.rule(), one.what())));
-                return told.append(timelineAround(play, breaks.get(0))).toString();
+                return text.append(timelineAround(play, breaks.get(0))).toString();
             }
         }
         return "";
     }
 
-    /** What led to a breach: what is known of the mail, and of faults, up to a moment after it. */
+    /** The timeline of a violation: the facts of its mail, faults and restarts, up to a second after it. */
     private static String timelineAround(ScenarioRun play, Rules.Violation breach) {
         String mail = breach.what().split("[ .]")[0];
         List<Fact> facts = play.world.facts.stream().filter(fact -> fact.at() <= breach.at() + NANOS_PER_SECOND && (fact instanceof Fact.Fault
@@ -102,21 +104,21 @@
         return plays.stream().flatMap(play -> play.world.facts.stream());
     }
 
-    /** Of the mails handed in, those that were delivered, in percent, over all seeds. */
+    /** The percentage of the submitted mails that was delivered, over all seeds. */
     public double deliveredPercent() {
         int mails = 0;
         int delivered = 0;
         for (ScenarioRun play : plays) {
-            DeliveryMetrics figures = DeliveryMetrics.of(play.world.facts, play.settings, 0);
-            mails += figures.mails();
-            delivered += figures.delivered();
+            DeliveryMetrics metrics = DeliveryMetrics.of(play.world.facts, play.settings, 0);
+            mails += metrics.mails();
+            delivered += metrics.delivered();
         }
         return 100.0 * delivered / Math.max(1, mails);
     }
 
-    /** The most calls that came to a receiver in any time so long, on any day; from, to: since the day's begin. */
+    /** The maximum number of calls that arrived at a receiver within withinMs, on any day; from (inclusive), to (exclusive): since the day's begin. */
     public int mostCalls(String receiver, int withinMs, int from, int to) {
-        int most = 0;
+        int max = 0;
         for (ScenarioRun play : plays) {
             List<Long> calls = play.world.facts.stream().filter(fact -> fact instanceof Fact.Called called
                     && called.receiver().equals(receiver)).map(fact -> (fact.at() - World.START_NS) / ScenarioRun.NS_PER_MS)
@@ -125,19 +127,19 @@
                 while (calls.get(last) - calls.get(first) >= withinMs) {
                     first++;
                 }
-                most = Math.max(most, last - first + 1);
+                max = Math.max(max, last - first + 1);
             }
         }
-        return most;
+        return max;
     }
 
-    /** How often it was seen on every day, at least: a kind of fact (Died, Serves, ToldWait, ...) about a party or mail; empty: any. */
+    /** The minimum over all days of how often a kind of fact (Died, Serves, ToldWait, ...) was recorded of a party or mail; empty: of any. */
     public long seen(String kind, String of) {
         return plays.stream().mapToLong(play -> play.world.facts.stream().filter(fact -> fact.getClass().getSimpleName().equals(kind)
                 && (of.isEmpty() || fact.toString().contains("=" + of))).count()).min().orElse(0);
     }
 
-    /** Mails that ran more often than once under the id that a node took; a client that heard nothing gives a new one. */
+    /** How many mails ran more than once under the same id; a client that got no reply submits its mail again with a new id. */
     public long ranTwice() {
         Set<String> ran = new HashSet<>();
         Set<String> twice = new HashSet<>();
@@ -153,11 +155,11 @@
     }
 
     /**
-     * By how many percent of all hand-ins those behind an open mail of their key were refused more often than the others, over
-     * all seeds: open is what the same node has accepted and neither delivered nor told the end of.
+     * The percentage of refused submissions among those behind an open mail of their key, minus that among the others, over all
+     * seeds. A mail is open while its node has accepted it and it was neither delivered nor its ending notified.
      */
     public double refusedMoreBehindPercent() {
-        int[] came = new int[2];
+        int[] submitted = new int[2];
         int[] refused = new int[2];
         for (ScenarioRun play : plays) {
             Map<String, String> keyOf = new HashMap<>();
@@ -170,9 +172,9 @@
                         behind.add(in.id());
                     }
                 } else if (fact instanceof Fact.Answered answered) {
-                    int kind = behind.contains(answered.id()) ? 1 : 0;
-                    came[kind]++;
-                    refused[kind] += answered.answer().equals("BUSY") ? 1 : 0;
+                    int group = behind.contains(answered.id()) ? 1 : 0;
+                    submitted[group]++;
+                    refused[group] += answered.answer().equals("BUSY") ? 1 : 0;
                     if (answered.answer().equals("OK")) {
                         open.computeIfAbsent(keyOf.get(answered.id()), key -> new HashSet<>()).add(answered.id());
                     }
@@ -183,16 +185,16 @@
                 }
             }
         }
-        return 100.0 * refused[1] / Math.max(1, came[1]) - 100.0 * refused[0] / Math.max(1, came[0]);
+        return 100.0 * refused[1] / Math.max(1, submitted[1]) - 100.0 * refused[0] / Math.max(1, submitted[0]);
     }
 
-    /** The least, over all days, of the hand-ins that were refused. */
+    /** The minimum over all days of the number of refused submissions. */
     public long refused() {
         return plays.stream().mapToLong(play -> play.world.facts.stream().filter(fact -> fact instanceof Fact.Answered answered
                 && answered.answer().equals("BUSY")).count()).min().orElse(0);
     }
 
-    /** How often a fault's condition did not come. */
+    /** How many faults did not begin because their trigger was not met. */
     public long neverCame() {
         return allFacts().filter(fact -> fact instanceof Fact.NeverCame).count();
     }
--- a/lab/src/test/java/wrenreach/lab/ExperimentTest.java
+++ b/lab/src/test/java/wrenreach/lab/ExperimentTest.java
@@ -21,6 +21,7 @@
 import wrenreach.api.Settings;
 import wrenreach.state.CircuitBreakerState;
 
+/** Experiments from their files to the files of a run, and the parsing and the metrics that they rest on. */
 class ExperimentTest {
     private static final Logger ROOT_LOGGER = Logger.getLogger("");
     private static final String SMALL_EXPERIMENT = """
@@ -176,7 +177,7 @@
         assertThat(figures.breakerHistory()).extracting(DeliveryMetrics.BreakerCounts::halfOpen).containsExactly(0, 1, 0);
     }
 
-    /** The source's breaker: nothing goes out while it rests, then one probe at a time. */
+    /** The baseline's circuit breaker, as in the original source: nothing is sent while it is open, then one trial at a time. */
     @Test void baselineBreakerOpensAndProbes() throws Exception {
         Scenario day = Scenario.parse(List.of("seed 2", "rate 40", "length 9000", "fault down 0 at 2000 for 3000"));
         ScenarioRun plain = ScenarioRun.of(day, Baseline::withCircuitBreaker);
--- a/lab/src/test/java/wrenreach/lab/ToldTest.java
+++ b/lab/src/test/java/wrenreach/lab/ToldTest.java
@@ -30,29 +30,45 @@
 import wrenreach.state.Mail;
 
 /**
- * However calls to discovery fail, one way after the other until pauses are longest: once it works, a drain that it knows is
- * heeded in time. Whole nodes in virtual time, against an agent that the test plays.
+ * Guards against a node that learns of a drain too late after an outage of discovery. Calls to discovery fail in one way after the
+ * other until the node's backoff is longest; once discovery works, the drain that it tells must reach the dispatcher in time. Whole
+ * nodes run in virtual time against a discovery agent that the test simulates.
  */
 class ToldTest {
-    /** How a call fails. */
-    enum DiscoveryFailure { REFUSED, NO_CONNECTION, NO_RESPONSE, BAD_REQUEST, NOT_FOUND, SERVICE_UNAVAILABLE, HEADERS_ONLY, PARTIAL_BODY, MALFORMED_BODY, OLDER_INDEX }
+    /** How a call to discovery fails. */
+    enum DiscoveryFailure { REFUSED, NO_CONNECTION, NO_RESPONSE, BAD_REQUEST, NOT_FOUND, SERVICE_UNAVAILABLE, HEADERS_ONLY, PARTIAL_BODY, MALFORMED_BODY,
+        OLDER_INDEX }
 
-    /** What comes between, right before discovery works. */
+    /** What happens to the node right before discovery works: nothing, a reload that moves discovery to another port, or a restart. */
     enum Interruption { NOTHING, MOVE, RESTART }
 
-    private static final long MS = 1_000_000, SECOND = 1000 * MS;
-    /** A change counts as told after 6 s; most of a second is left for a node that is short of its core. */
+    /** A millisecond in nanoseconds. */
+    private static final long MS = 1_000_000;
+    /** A second in nanoseconds. */
+    private static final long SECOND = 1000 * MS;
+    /** A change counts as known to a node after 6 s; this leaves most of a second for a node that is short of CPU time. In nanoseconds. */
     private static final long MAX_DRAIN_DELAY = 5200 * MS;
-    private static final long FAILURE_TIME = SECOND, LAST_FAILURE_TIME = 9 * SECOND, PHASE_STEP = 370 * MS;
-    private static final int PHASE_COUNT = 15, KNOWN_INDEX = 7;
-    private static final int AGENT_PORT = 7001, MOVED_AGENT_PORT = 7003;
+    /** How long each kind of failure lasts before the last one, in nanoseconds. */
+    private static final long FAILURE_TIME = SECOND;
+    /** How long the last kind of failure lasts at least, and how long a node runs after an interruption, in nanoseconds. */
+    private static final long LAST_FAILURE_TIME = 9 * SECOND;
+    /** The step between the phases of the node's retries at which discovery works again, in nanoseconds. */
+    private static final long PHASE_STEP = 370 * MS;
+    /** How many phases are tried. */
+    private static final int PHASE_COUNT = 15;
+    /** The index of the endpoint list that the node knows before the drain. */
+    private static final int KNOWN_INDEX = 7;
+    /** The port of discovery. */
+    private static final int AGENT_PORT = 7001;
+    /** The port that discovery has after it was moved. */
+    private static final int MOVED_AGENT_PORT = 7003;
 
     @BeforeAll static void disableLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Logger.getLogger("").setLevel(Level.OFF);
     }
 
-    /** Discovery as one node sees it. */
+    /** A simulated discovery agent that serves one node. */
     private static final class Agent implements Network.Listener {
         private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
         private final World world;
@@ -68,18 +84,18 @@
             world.network.listen(address, this);
         }
 
-        void setFailure(DiscoveryFailure way) {
+        void setFailure(DiscoveryFailure newFailure) {
             world.network.unlisten(address, this);
             if (failure == DiscoveryFailure.NO_CONNECTION) {
                 world.network.direction("n0", party.name).end(CUT);
             }
-            if (way == DiscoveryFailure.NO_CONNECTION) {
+            if (newFailure == DiscoveryFailure.NO_CONNECTION) {
                 world.network.direction("n0", party.name).begin(CUT);
             }
-            if (way != DiscoveryFailure.REFUSED) {
+            if (newFailure != DiscoveryFailure.REFUSED) {
                 world.network.listen(address, this);
             }
-            failure = way;
+            failure = newFailure;
         }
 
         @Override public Network.Party party() {
@@ -95,22 +111,22 @@
             return new HttpConnection(link) {
                 @Override void requestBegins(String head) { }
 
-                private void chunk(String text) {
+                private void writeChunk(String text) {
                     write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
                 }
 
-                private void beat() {
+                private void sendHeartbeat() {
                     if (!closed) {
-                        chunk("\n");
-                        world.scheduleIn(2 * SECOND, this::beat);
+                        writeChunk("\n");
+                        world.scheduleIn(2 * SECOND, this::sendHeartbeat);
                     }
                 }
 
-                private void say(boolean watch, String text) {
-                    if (watch) {
+                private void respond(boolean stream, String text) {
+                    if (stream) {
                         write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                         if (!text.isEmpty()) {
-                            chunk(text + "\n");
+                            writeChunk(text + "\n");
                         }
                     } else {
                         write("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
@@ -118,12 +134,12 @@
                 }
 
                 @Override void requestReceived(Request request) {
-                    boolean watch = request.path().contains("stream=1");
-                    String good = list(endpointDraining ? KNOWN_INDEX + 1 : KNOWN_INDEX);
+                    boolean stream = request.path().contains("stream=1");
+                    String currentList = list(endpointDraining ? KNOWN_INDEX + 1 : KNOWN_INDEX);
                     if (failure == null) {
-                        say(watch, good);
-                        if (watch) {
-                            beat();
+                        respond(stream, currentList);
+                        if (stream) {
+                            sendHeartbeat();
                         }
                         return;
                     }
@@ -131,25 +147,25 @@
                         case BAD_REQUEST -> respondWithoutBody("400 Bad Request");
                         case NOT_FOUND -> respondWithoutBody("404 Not Found");
                         case SERVICE_UNAVAILABLE -> respondWithoutBody("503 Service Unavailable");
-                        case HEADERS_ONLY -> write("HTTP/1.1 200 OK\r\n" + (watch ? "Transfer-Encoding: chunked" : "Content-Length: 99") + "\r\n\r\n");
+                        case HEADERS_ONLY -> write("HTTP/1.1 200 OK\r\n" + (stream ? "Transfer-Encoding: chunked" : "Content-Length: 99") + "\r\n\r\n");
                         case PARTIAL_BODY -> {
-                            write("HTTP/1.1 200 OK\r\n" + (watch ? "Transfer-Encoding: chunked" : "Content-Length: " + good.length()) + "\r\n\r\n");
-                            if (watch) {
-                                chunk(good.substring(0, good.length() / 2));
+                            write("HTTP/1.1 200 OK\r\n" + (stream ? "Transfer-Encoding: chunked" : "Content-Length: " + currentList.length()) + "\r\n\r\n");
+                            if (stream) {
+                                writeChunk(currentList.substring(0, currentList.length() / 2));
                             } else {
-                                write(good.substring(0, good.length() / 2));
+                                write(currentList.substring(0, currentList.length() / 2));
                             }
                         }
-                        case MALFORMED_BODY -> say(watch, "{\"index\":nonsense");
-                        case OLDER_INDEX -> say(watch, list(KNOWN_INDEX - 1));
-                        default -> { } // MUTE: nothing is said.
+                        case MALFORMED_BODY -> respond(stream, "{\"index\":nonsense");
+                        case OLDER_INDEX -> respond(stream, list(KNOWN_INDEX - 1));
+                        default -> { } // NO_RESPONSE: nothing is written.
                     }
                 }
             };
         }
     }
 
-    /** The module, and when it was first told that the endpoint drains. */
+    /** Delegates to the product's dispatcher, and runs an action whenever it is told that the endpoint is draining. */
     private static final class DrainObserver implements Dispatcher {
         private final DeliveryDispatcher delegate;
         private final Runnable onDrain;
@@ -163,19 +179,19 @@
             return delegate.admit(mail, now);
         }
 
-        @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-            return delegate.attemptEnded(connect, outcome, report, done, now);
+        @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] report, boolean done, long now) {
+            return delegate.attemptEnded(attempt, outcome, report, done, now);
         }
 
         @Override public List<Action> withdrawn(Mail mail, long now) {
             return delegate.withdrawn(mail, now);
         }
 
-        @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
-            if (listing.entries().stream().anyMatch(entry -> entry.state() == EndpointUpdate.State.DRAINING)) {
+        @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
+            if (update.entries().stream().anyMatch(entry -> entry.state() == EndpointUpdate.State.DRAINING)) {
                 onDrain.run();
             }
-            return delegate.endpointsUpdated(listing, now);
+            return delegate.endpointsUpdated(update, now);
         }
 
         @Override public List<Action> nextActions(long now) {
@@ -183,8 +199,11 @@
         }
     }
 
-    /** From the instant at which discovery works to the drain being heeded; the last way to fail is met at this phase. */
-    private static long drainDelay(DiscoveryFailure last, boolean pushed, Interruption between, long phase, long seed) throws IOException {
+    /**
+     * The time from the instant at which discovery works to the dispatcher being told of the drain, in nanoseconds; phase: by how
+     * much the last kind of failure lasts longer than {@link #LAST_FAILURE_TIME}. Long.MAX_VALUE: it was not told within 20 s.
+     */
+    private static long drainDelay(DiscoveryFailure lastFailure, boolean pushed, Interruption interruption, long phase, long seed) throws IOException {
         World world = new World(seed);
         InetSocketAddress at = new InetSocketAddress("10.0.0.9", AGENT_PORT);
         InetSocketAddress movedTo = new InetSocketAddress("10.0.0.9", MOVED_AGENT_PORT);
@@ -196,68 +215,68 @@
                 .replace("\"DrainGrace\": 1", "\"DrainGrace\": 1, \"MustAskIn\": 2");
         Config config = Config.parse(json.getBytes(StandardCharsets.UTF_8), Map.of());
         assertThat(config.settings().listOnRequest()).isNotEqualTo(pushed);
-        long[] heeded = {Long.MAX_VALUE};
+        long[] drainKnownAt = {Long.MAX_VALUE};
         InMemoryNode node = new InMemoryNode(world, "n0", config, json, 0, false,
-                settings -> new DrainObserver(settings, () -> heeded[0] = Math.min(heeded[0], world.now())), OperatorFile.none());
+                settings -> new DrainObserver(settings, () -> drainKnownAt[0] = Math.min(drainKnownAt[0], world.now())), OperatorFile.none());
         node.start();
         world.runUntil(world.now() + SECOND);
-        List<DiscoveryFailure> ways = new ArrayList<>(List.of(DiscoveryFailure.values()));
-        for (int i = ways.size(); i > 1; i--) {
-            ways.add(ways.remove(world.nextIntBelow(i)));
+        List<DiscoveryFailure> failures = new ArrayList<>(List.of(DiscoveryFailure.values()));
+        for (int i = failures.size(); i > 1; i--) {
+            failures.add(failures.remove(world.nextIntBelow(i)));
         }
-        for (DiscoveryFailure way : ways) {
-            agent.setFailure(way);
-            if (way == ways.get(0)) {
-                world.network.reset("n0", agent.party.name); // The watch that was open breaks.
+        for (DiscoveryFailure failure : failures) {
+            agent.setFailure(failure);
+            if (failure == failures.get(0)) {
+                world.network.reset("n0", agent.party.name); // The stream that was open breaks.
             }
             world.runUntil(world.now() + FAILURE_TIME);
         }
-        agent.setFailure(last);
+        agent.setFailure(lastFailure);
         world.runUntil(world.now() + LAST_FAILURE_TIME + phase);
-        Agent works = agent;
-        if (between == Interruption.MOVE) {
-            works = new Agent(world, movedTo);
-            works.setFailure(last);
+        Agent workingAgent = agent;
+        if (interruption == Interruption.MOVE) {
+            workingAgent = new Agent(world, movedTo);
+            workingAgent.setFailure(lastFailure);
             node.reload(MOVED_AGENT_PORT);
             world.runUntil(world.now() + LAST_FAILURE_TIME);
-        } else if (between == Interruption.RESTART) {
+        } else if (interruption == Interruption.RESTART) {
             node.kill();
             world.runUntil(world.now() + SECOND);
             node.start();
             world.runUntil(world.now() + LAST_FAILURE_TIME);
         }
-        long from = world.now();
-        works.endpointDraining = true;
-        works.setFailure(null);
-        world.runUntil(from + 20 * SECOND);
-        return heeded[0] == Long.MAX_VALUE ? Long.MAX_VALUE : heeded[0] - from;
+        long worksAt = world.now();
+        workingAgent.endpointDraining = true;
+        workingAgent.setFailure(null);
+        world.runUntil(worksAt + 20 * SECOND);
+        return drainKnownAt[0] == Long.MAX_VALUE ? Long.MAX_VALUE : drainKnownAt[0] - worksAt;
     }
 
-    private static void assertDrainInTime(DiscoveryFailure last, boolean pushed) throws IOException {
+    private static void assertDrainInTime(DiscoveryFailure lastFailure, boolean pushed) throws IOException {
         List<String> late = new ArrayList<>();
-        long most = 0;
-        for (Interruption between : Interruption.values()) {
+        long max = 0;
+        for (Interruption interruption : Interruption.values()) {
             for (int i = 0; i < PHASE_COUNT; i++) {
-                long took = drainDelay(last, pushed, between, i * PHASE_STEP, 31 * i + last.ordinal());
-                most = Math.max(most, took);
+                long took = drainDelay(lastFailure, pushed, interruption, i * PHASE_STEP, 31 * i + lastFailure.ordinal());
+                max = Math.max(max, took);
                 if (took >= MAX_DRAIN_DELAY) {
-                    late.add(between + " at " + i * PHASE_STEP / MS + " ms: " + took / MS + " ms");
+                    late.add(interruption + " at " + i * PHASE_STEP / MS + " ms: " + took / MS + " ms");
                 }
             }
         }
-        System.out.println((pushed ? "pushed" : "asked") + " after " + last + ": heeded within " + most / MS + " ms");
+        System.out.println((pushed ? "pushed" : "asked") + " after " + lastFailure + ": heeded within " + max / MS + " ms");
         assertThat(late).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(DiscoveryFailure.class)
-    void followsDrainWhenListsArePushed(DiscoveryFailure last) throws IOException {
-        assertDrainInTime(last, true);
+    void followsDrainWhenListsArePushed(DiscoveryFailure lastFailure) throws IOException {
+        assertDrainInTime(lastFailure, true);
     }
 
     @ParameterizedTest
     @EnumSource(DiscoveryFailure.class)
-    void followsDrainWhenListsArePolled(DiscoveryFailure last) throws IOException {
-        assertDrainInTime(last, false);
+    void followsDrainWhenListsArePolled(DiscoveryFailure lastFailure) throws IOException {
+        assertDrainInTime(lastFailure, false);
     }
 }
