--- a/lab/src/main/java/wrenreach/lab/DeliveryMetrics.java
+++ b/lab/src/main/java/wrenreach/lab/DeliveryMetrics.java
@@ -28,10 +28,10 @@
 
     /** The metrics of one day; violations: how many rule violations it had. */
     static DeliveryMetrics of(List<Fact> facts, Settings settings, int violations) {
-        Map<String, Fact.HandedIn> first = new HashMap<>();
-        Map<String, Fact.HandedIn> mailOf = new HashMap<>();
+        Map<String, Fact.HandedIn> firstByTag = new HashMap<>();
+        Map<String, Fact.HandedIn> firstById = new HashMap<>();
         Map<String, CircuitBreakerState.Phase> phases = new HashMap<>();
-        Set<String> done = new HashSet<>();
+        Set<String> deliveredTags = new HashSet<>();
         List<BreakerCounts> breakers = new ArrayList<>();
         Histogram delays = newDelayHistogram();
         int calls = 0;
@@ -42,28 +42,28 @@
         double worth = 0;
         for (Fact fact : facts) {
             if (fact instanceof Fact.HandedIn in) {
-                if (first.putIfAbsent(in.tag(), in) == null) {
+                if (firstByTag.putIfAbsent(in.tag(), in) == null) {
                     importance += settings.classes().get(in.queueClass()).importance();
                 }
-                mailOf.put(in.id(), first.get(in.tag()));
+                firstById.put(in.id(), firstByTag.get(in.tag()));
             } else if (fact instanceof Fact.Called) {
                 calls++;
-            } else if (fact instanceof Fact.Delivered delivered && mailOf.containsKey(delivered.id())
-                    && done.add(mailOf.get(delivered.id()).tag())) {
-                Fact.HandedIn mail = mailOf.get(delivered.id());
+            } else if (fact instanceof Fact.Delivered delivered && firstById.containsKey(delivered.id())
+                    && deliveredTags.add(firstById.get(delivered.id()).tag())) {
+                Fact.HandedIn mail = firstById.get(delivered.id());
                 long delay = Math.max(0, (delivered.at() - mail.at()) / 1000);
                 delays.recordValue(Math.min(delay, delays.getHighestTrackableValue()));
                 Settings.QueueClass queueClass = settings.classes().get(mail.queueClass());
                 inTime += delay <= queueClass.targetDelay() ? 1 : 0;
                 worth += valueAtDelivery(queueClass, delay);
             } else if (fact instanceof Fact.Turned turned) {
-                CircuitBreakerState.Phase was = phases.put(turned.node() + "/" + turned.route(), turned.phase());
-                open += oneIfEqual(turned.phase(), CircuitBreakerState.Phase.OPEN) - oneIfEqual(was, CircuitBreakerState.Phase.OPEN);
-                halfOpen += oneIfEqual(turned.phase(), CircuitBreakerState.Phase.HALF_OPEN) - oneIfEqual(was, CircuitBreakerState.Phase.HALF_OPEN);
+                CircuitBreakerState.Phase previous = phases.put(turned.node() + "/" + turned.route(), turned.phase());
+                open += oneIfEqual(turned.phase(), CircuitBreakerState.Phase.OPEN) - oneIfEqual(previous, CircuitBreakerState.Phase.OPEN);
+                halfOpen += oneIfEqual(turned.phase(), CircuitBreakerState.Phase.HALF_OPEN) - oneIfEqual(previous, CircuitBreakerState.Phase.HALF_OPEN);
                 breakers.add(new BreakerCounts(turned.at(), open, halfOpen));
             }
         }
-        return new DeliveryMetrics(first.size(), done.size(), inTime, importance, worth, calls, violations, delays, breakers);
+        return new DeliveryMetrics(firstByTag.size(), deliveredTags.size(), inTime, importance, worth, calls, violations, delays, breakers);
     }
 
     private static int oneIfEqual(CircuitBreakerState.Phase phase, CircuitBreakerState.Phase expected) {
--- a/lab/src/main/java/wrenreach/lab/LabCommand.java
+++ b/lab/src/main/java/wrenreach/lab/LabCommand.java
@@ -53,26 +53,26 @@
         try {
             CommandLine line = new DefaultParser().parse(known, words.toArray(String[]::new));
             List<String> args = line.getArgList();
-            String what = args.isEmpty() ? "" : args.get(0);
+            String action = args.isEmpty() ? "" : args.get(0);
             int jobs = parseJobs(line.getOptionValue("jobs", Integer.toString(Runtime.getRuntime().availableProcessors())));
-            if ((what.equals("run") || what.equals("load")) && args.size() == 2 && line.hasOption("out")) {
-                return runExperiment(Path.of(args.get(1)), Path.of(line.getOptionValue("out")), what.equals("load") ? 0 : jobs, out, err);
-            } else if (what.equals("beside") && args.size() == 3 && line.hasOption("out")) {
+            if ((action.equals("run") || action.equals("load")) && args.size() == 2 && line.hasOption("out")) {
+                return runExperiment(Path.of(args.get(1)), Path.of(line.getOptionValue("out")), action.equals("load") ? 0 : jobs, out, err);
+            } else if (action.equals("beside") && args.size() == 3 && line.hasOption("out")) {
                 return compareRuns(Path.of(args.get(1)), Path.of(args.get(2)), Path.of(line.getOptionValue("out")), out);
-            } else if (what.equals("explore") && args.size() == 1 && line.getOptionValue("seeds", "").matches("\\d{1,9}\\.\\.\\d{1,9}")) {
+            } else if (action.equals("explore") && args.size() == 1 && line.getOptionValue("seeds", "").matches("\\d{1,9}\\.\\.\\d{1,9}")) {
                 String[] seeds = line.getOptionValue("seeds").split("\\.\\.");
                 return new SeedExplorer(Path.of(line.getOptionValue("out", "found")), out).explore(Long.parseLong(seeds[0]),
                         Long.parseLong(seeds[1]), 1000 * Unit.DURATION.parse(line.getOptionValue("for", "60s")), jobs);
-            } else if (what.equals("replay") && args.size() == 2) {
+            } else if (action.equals("replay") && args.size() == 2) {
                 return replay(Path.of(args.get(1)), out, err);
             }
-            if (what.equals("soak") && args.size() == 1) {
+            if (action.equals("soak") && args.size() == 1) {
                 return soak(line, line.hasOption("jobs") ? jobs : DEFAULT_SOAK_JOBS, out, err);
             }
-            throw new ParseException(what.isEmpty() ? "lab: what is to be done?" : "lab " + what + ": not so");
+            throw new ParseException(action.isEmpty() ? "lab: what is to be done?" : "lab " + action + ": not so");
         } catch (ParseException | IllegalArgumentException e) {
             err.println("wrenreach: " + e.getMessage());
-            usage().forEach(use -> err.println("usage: wrenreach " + use));
+            usage().forEach(usageLine -> err.println("usage: wrenreach " + usageLine));
             return 2;
         } catch (IOException e) {
             err.println("wrenreach: " + e);
@@ -123,15 +123,15 @@
         boolean real = jobs == 0;
         List<String> objections = real ? ProcessTrials.objections(experiment) : experiment.objections(false);
         if (!objections.isEmpty()) {
-            objections.forEach(why -> err.println(file + ": " + why));
+            objections.forEach(objection -> err.println(file + ": " + objection));
             return 2;
         }
         int count = experiment.sweep().values().size() * (real ? 1 : experiment.about().dispatchers().size())
                 * experiment.about().seeds();
         try (RunFiles files = new RunFiles(folder)) {
-            boolean shown = System.console() != null;
+            boolean interactive = System.console() != null;
             IntConsumer progress = done -> {
-                if (shown) {
+                if (interactive) {
                     err.printf("\r%d of %d days played%s", done, count, done == count ? "\n" : "");
                     err.flush();
                 }
--- a/lab/src/main/java/wrenreach/lab/Report.java
+++ b/lab/src/main/java/wrenreach/lab/Report.java
@@ -95,13 +95,13 @@
         part.append("<table><tr><th>").append(escapeHtml(run.sweptFigure())).append("</th><th>dispatcher</th><th>mails</th><th>delivered</th>"
                 + "<th>in time</th><th>importance</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th><th>calls a mail</th>"
                 + "<th>rule breaks</th></tr>");
-        run.metrics().forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, f) -> part.append(String.format(Locale.ROOT,
+        run.metrics().forEach((value, byDispatcher) -> byDispatcher.forEach((dispatcher, metrics) -> part.append(String.format(Locale.ROOT,
                 "<tr><td>%d</td><td>%s</td><td>%d</td><td>%.1f%%</td><td>%.1f%%</td><td>%.1f%%</td><td>%.1f</td><td>%.1f</td>"
-                + "<td>%.1f</td><td>%.2f</td><td%s>%d</td></tr>", value, escapeHtml(dispatcher), f.mails(), 100 * f.deliveredShare(),
-                100 * f.inTimeShare(), 100 * f.importanceShare(), f.delayPercentileMs(50), f.delayPercentileMs(99), f.delayPercentileMs(99.9), f.callsPerMail(),
-                f.violations() > 0 ? " class=\"bad\"" : "", f.violations()))));
+                + "<td>%.1f</td><td>%.2f</td><td%s>%d</td></tr>", value, escapeHtml(dispatcher), metrics.mails(), 100 * metrics.deliveredShare(),
+                100 * metrics.inTimeShare(), 100 * metrics.importanceShare(), metrics.delayPercentileMs(50), metrics.delayPercentileMs(99),
+                metrics.delayPercentileMs(99.9), metrics.callsPerMail(), metrics.violations() > 0 ? " class=\"bad\"" : "", metrics.violations()))));
         part.append("</table>");
-        part.append(imageTag(barChart(run, "Delivered importance", "of what was handed in, %", f -> 100 * f.importanceShare())));
+        part.append(imageTag(barChart(run, "Delivered importance", "of what was handed in, %", metrics -> 100 * metrics.importanceShare())));
         part.append(imageTag(barChart(run, "Calls a mail", "calls that came to receivers", DeliveryMetrics::callsPerMail)));
         run.metrics().forEach((value, byDispatcher) -> {
             part.append(imageTag(delayChart(run.sweptFigure() + " " + value, byDispatcher)));
@@ -136,10 +136,10 @@
         XYSeriesCollection data = new XYSeriesCollection();
         byDispatcher.forEach((dispatcher, figures) -> {
             XYSeries series = new XYSeries(dispatcher);
-            for (HistogramIterationValue v : figures.delays().percentiles(5)) {
-                double missing = 1 - v.getPercentileLevelIteratedTo() / 100;
+            for (HistogramIterationValue step : figures.delays().percentiles(5)) {
+                double missing = 1 - step.getPercentileLevelIteratedTo() / 100;
                 if (missing > 0) {
-                    series.add(-Math.log10(missing), Math.max(0.1, v.getValueIteratedTo() / 1000.0));
+                    series.add(-Math.log10(missing), Math.max(0.1, step.getValueIteratedTo() / 1000.0));
                 }
             }
             data.addSeries(series);
@@ -179,9 +179,9 @@
             XYSeries halfOpen = new XYSeries(dispatcher + ": half-open", false, true);
             open.add(0, 0);
             halfOpen.add(0, 0);
-            for (DeliveryMetrics.BreakerCounts p : figures.breakerHistory()) {
-                open.add((p.at() - World.START_NS) / 1e9, p.open());
-                halfOpen.add((p.at() - World.START_NS) / 1e9, p.halfOpen());
+            for (DeliveryMetrics.BreakerCounts counts : figures.breakerHistory()) {
+                open.add((counts.at() - World.START_NS) / 1e9, counts.open());
+                halfOpen.add((counts.at() - World.START_NS) / 1e9, counts.halfOpen());
             }
             if (!figures.breakerHistory().isEmpty()) {
                 data.addSeries(open);
--- a/lab/src/main/java/wrenreach/lab/Rules.java
+++ b/lab/src/main/java/wrenreach/lab/Rules.java
@@ -47,17 +47,17 @@
     private static final long NOTICE_SLACK = 300 * MS;
     /** After a node serves again, or a freeze or a fault of its state folder is over, before anything is overdue. */
     private static final long RECOVERY_SLACK = 1500 * MS;
-    /** After a fault of a link, during which the node may still be affected by it. */
+    /** After a fault of a link, during which the node is still excused, or counts as affected by it. */
     private static final long RECONNECT_SLACK = 7 * SECOND;
     /** After a retry-after was written, during which calls may still arrive. */
     private static final long RETRY_AFTER_SLACK = 100 * MS;
-    /** After the drain grace, for calls that arrive later than they began. */
+    /** After the drain grace, before a call that begins is a violation. */
     private static final long DRAIN_SLACK = 50 * MS;
     /** After a node serves, until it has to know its first endpoint list. */
     private static final long FIRST_LIST_SLACK = 1000 * MS;
     /** After a fault of a link to a receiver, during which data that the fault held up may still arrive. */
     private static final long LATE_ARRIVAL_SLACK = 300 * MS;
-    /** After a receiver has answered, for the node to read the response. */
+    /** After a receiver has answered, before the node counts as having seen the response. */
     private static final long RESPONSE_SLACK = 50 * MS;
     /** Before and after a time at which the observers were late; in it, rules that depend on clocks are inconclusive. */
     private static final long LATE_OBSERVER_MARGIN = SECOND;
@@ -208,17 +208,17 @@
 
     /** The instant by which a node has to do what is due: moved to the end of the node's excused spans that it falls into. */
     private long dueBy(String node, long due) {
-        long by = due;
+        long dueBy = due;
         for (boolean moved = true; moved;) {
             moved = false;
             for (Span span : excusedSpans.getOrDefault(node, List.of())) {
-                if (by >= span.from && by < span.to) {
-                    by = span.to;
+                if (dueBy >= span.from && dueBy < span.to) {
+                    dueBy = span.to;
                     moved = true;
                 }
             }
         }
-        return by;
+        return dueBy;
     }
 
     private Settings.QueueClass queueClass(String id) {
@@ -242,7 +242,7 @@
      */
     private void checkEndings() {
         Map<String, Long> endedAt = new HashMap<>();
-        Map<String, String> status = new HashMap<>();
+        Map<String, String> statuses = new HashMap<>();
         Set<String> ran = new HashSet<>();
         Set<String> refused = new HashSet<>();
         Map<String, Fact.Answered> accepted = new LinkedHashMap<>();
@@ -263,7 +263,7 @@
                 endedAt.putIfAbsent(delivered.id(), delivered.at());
             } else if (fact instanceof Fact.Noticed noticed) {
                 endedAt.putIfAbsent(noticed.id(), noticed.at());
-                String before = status.put(noticed.id(), noticed.status());
+                String before = statuses.put(noticed.id(), noticed.status());
                 if (before != null && !before.equals(noticed.status()) && !forgottenMails.contains(noticed.id())) {
                     addViolation(Rule.LOST, noticed.at(), noticed.id() + " has two ends: " + before + ", " + noticed.status());
                 }
@@ -286,13 +286,13 @@
 
     /** No effect happens twice where it must not, and no second copy of a mail is sent while an earlier one is open. */
     private void checkDuplicates() {
-        Map<String, Long> first = new HashMap<>();
+        Map<String, Long> firstRunAt = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.Called call && call.second()) {
                 addViolation(Rule.TWICE, call.at(), call.id() + " came to " + call.receiver() + " while an earlier copy is open there");
             } else if (fact instanceof Fact.Ran run) {
                 Settings.QueueClass queueClass = queueClass(run.id());
-                Long before = first.putIfAbsent(run.id(), run.at());
+                Long before = firstRunAt.putIfAbsent(run.id(), run.at());
                 if (before == null || queueClass.effect() == Settings.Effect.REDELIVERABLE || forgottenMails.contains(run.id())) {
                     continue;
                 }
@@ -317,14 +317,14 @@
 
     /** A draining endpoint gets no call that begins after the drain grace, counted from when the node could know of the drain. */
     private void checkDrains() {
-        Map<String, Long> drained = new HashMap<>();
-        Map<String, Long> told = new HashMap<>();
+        Map<String, Long> drainingSince = new HashMap<>();
+        Map<String, Long> nodeToldAt = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.ToldDrain drain) {
-                drained.putIfAbsent(drain.receiver(), drain.at());
-                told.putIfAbsent(drain.node() + drain.receiver(), drain.at());
-            } else if (fact instanceof Fact.Begun call && drained.containsKey(call.receiver())) {
-                long since = told.getOrDefault(call.node() + call.receiver(), drained.get(call.receiver()));
+                drainingSince.putIfAbsent(drain.receiver(), drain.at());
+                nodeToldAt.putIfAbsent(drain.node() + drain.receiver(), drain.at());
+            } else if (fact instanceof Fact.Begun call && drainingSince.containsKey(call.receiver())) {
+                long since = nodeToldAt.getOrDefault(call.node() + call.receiver(), drainingSince.get(call.receiver()));
                 since = Math.max(since, latestUpTo(readyTimes.getOrDefault(call.node(), List.of()), call.at()) + FIRST_LIST_SLACK);
                 long until = dueBy(call.node(), since) + 1000 * settings.rules().drainGrace() + DRAIN_SLACK;
                 if (call.at() > until && !mayBeHeldUp(call.at())) {
@@ -335,12 +335,12 @@
         }
     }
 
-    /** A message is not sent while an earlier one of its key, accepted by the same node before it was handed in, has not ended. */
+    /** A message is not sent while an earlier one of its key, accepted by the same node before it was submitted, has not ended. */
     private void checkSendOrder() {
         Map<String, List<String>> unended = new HashMap<>();
         Map<String, List<String>> before = new HashMap<>();
         Set<String> ended = new HashSet<>();
-        Set<String> told = new HashSet<>();
+        Set<String> reported = new HashSet<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.HandedIn in) {
                 before.put(in.id(), List.copyOf(unended.getOrDefault(in.node() + "/" + in.key(), List.of())));
@@ -354,7 +354,7 @@
             } else if (fact instanceof Fact.Called called && mails.containsKey(called.id())) {
                 List<String> open = unended.getOrDefault(orderScope(called.id()), List.of());
                 before.getOrDefault(called.id(), List.of()).stream().filter(id -> open.contains(id) && !forgottenMails.contains(id)
-                        && told.add(called.id() + " " + id)).forEach(id -> addViolation(Rule.ORDER, called.at(),
+                        && reported.add(called.id() + " " + id)).forEach(id -> addViolation(Rule.ORDER, called.at(),
                         called.id() + " was sent before " + id + " of its key " + mails.get(id).key() + " had ended"));
             }
         }
@@ -453,7 +453,7 @@
                 || fault.of().kind() == Scenario.Kind.CUT_RECEIVER || fault.of().kind() == Scenario.Kind.MUTE
                 || fault.of().kind() == Scenario.Kind.DEAF)).map(fact -> new Span(fact.at(), ((Fact.Fault) fact).until())).toList();
         Map<String, String> open = new LinkedHashMap<>();
-        Set<String> found = new HashSet<>();
+        Set<String> foundUntried = new HashSet<>();
         int givenUp = 0;
         for (Fact fact : facts) {
             if (fact instanceof Fact.Answered answered && answered.answer().equals("OK")) {
@@ -461,19 +461,19 @@
             } else if (fact instanceof Fact.Called called) {
                 open.remove(called.id());
             } else if (fact instanceof Fact.Noticed noticed && open.remove(noticed.id()) != null) {
-                givenUp += found.contains(noticed.id()) ? 1 : 0;
+                givenUp += foundUntried.contains(noticed.id()) ? 1 : 0;
             } else if (fact instanceof Fact.Serves back) {
                 open.forEach((id, node) -> {
                     long until = mails.get(id).until();
                     if (node.equals(back.node()) && until - back.at() > MIN_TIME_LEFT && !forgottenMails.contains(id)
                             && disturbances.stream().noneMatch(span -> span.from < until && span.to > back.at())) {
-                        found.add(id);
+                        foundUntried.add(id);
                     }
                 });
             }
         }
-        if (found.size() >= MIN_UNTRIED_MAILS && 2 * givenUp > found.size()) {
-            addViolation(Rule.UNTRIED, end, givenUp + " of " + found.size() + " mails that restarts found untried ended with no call");
+        if (foundUntried.size() >= MIN_UNTRIED_MAILS && 2 * givenUp > foundUntried.size()) {
+            addViolation(Rule.UNTRIED, end, givenUp + " of " + foundUntried.size() + " mails that restarts found untried ended with no call");
         }
     }
 
--- a/lab/src/main/java/wrenreach/lab/RunFiles.java
+++ b/lab/src/main/java/wrenreach/lab/RunFiles.java
@@ -60,8 +60,8 @@
     }
 
     private static boolean isEmpty(Path folder) throws IOException {
-        try (Stream<Path> in = Files.list(folder)) {
-            return in.findAny().isEmpty();
+        try (Stream<Path> entries = Files.list(folder)) {
+            return entries.findAny().isEmpty();
         }
     }
 
@@ -101,8 +101,8 @@
     }
 
     private void writeDelays(List<ExperimentRunner.DayResult> results, String mode) throws IOException {
-        try (PrintStream to = new PrintStream(Files.newOutputStream(partialFolder.resolve(DELAYS_FILE)), false, StandardCharsets.UTF_8)) {
-            HistogramLogWriter log = new HistogramLogWriter(to);
+        try (PrintStream out = new PrintStream(Files.newOutputStream(partialFolder.resolve(DELAYS_FILE)), false, StandardCharsets.UTF_8)) {
+            HistogramLogWriter log = new HistogramLogWriter(out);
             log.outputComment("[" + mode + ": delays in microseconds, from the instant a writer had the mail ready]");
             log.outputLogFormatVersion();
             log.outputLegend();
@@ -124,8 +124,8 @@
     private void writeBreakers(List<ExperimentRunner.DayResult> results) throws IOException {
         try (CSVPrinter out = openCsv(BREAKERS_FILE, "value", "dispatcher", "seed", "at_ns", "open", "half_open")) {
             for (ExperimentRunner.DayResult result : results) {
-                for (DeliveryMetrics.BreakerCounts p : result.metrics().breakerHistory()) {
-                    out.printRecord(result.value(), result.dispatcher(), result.seed(), p.at(), p.open(), p.halfOpen());
+                for (DeliveryMetrics.BreakerCounts counts : result.metrics().breakerHistory()) {
+                    out.printRecord(result.value(), result.dispatcher(), result.seed(), counts.at(), counts.open(), counts.halfOpen());
                 }
             }
         }
@@ -174,10 +174,10 @@
             List<DeliveryMetrics> ofPoint = days.computeIfAbsent(value, v -> new LinkedHashMap<>())
                     .computeIfAbsent(line.get("dispatcher"), d -> new ArrayList<>());
             // Delays are stored by point, not by day, so the first day of a point gets all of them.
-            Histogram own = ofPoint.isEmpty() ? delays.getOrDefault(point, DeliveryMetrics.newDelayHistogram()) : DeliveryMetrics.newDelayHistogram();
+            Histogram pointDelays = ofPoint.isEmpty() ? delays.getOrDefault(point, DeliveryMetrics.newDelayHistogram()) : DeliveryMetrics.newDelayHistogram();
             ofPoint.add(new DeliveryMetrics(intColumn(line, "mails"), intColumn(line, "delivered"), intColumn(line, "in_time"),
                     Double.parseDouble(line.get("importance")), Double.parseDouble(line.get("delivered_importance")),
-                    intColumn(line, "calls"), intColumn(line, "breaks"), own, breakers.getOrDefault(point, List.of())));
+                    intColumn(line, "calls"), intColumn(line, "breaks"), pointDelays, breakers.getOrDefault(point, List.of())));
         }
         if (days.isEmpty()) {
             throw new IOException(folder.resolve(RESULTS_FILE) + " holds no results");
@@ -189,9 +189,9 @@
     }
 
     private static List<CSVRecord> readRecords(Path file) throws IOException {
-        try (CSVParser in = CSVParser.parse(file, StandardCharsets.UTF_8,
+        try (CSVParser parser = CSVParser.parse(file, StandardCharsets.UTF_8,
                 CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).get())) {
-            return in.getRecords();
+            return parser.getRecords();
         } catch (IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
--- a/lab/src/main/java/wrenreach/lab/ScenarioShrinker.java
+++ b/lab/src/main/java/wrenreach/lab/ScenarioShrinker.java
@@ -8,7 +8,7 @@
 
 /** Checks scenarios for rule violations, and shrinks one to a smaller scenario that still violates the same rule. */
 final class ScenarioShrinker {
-    /** After so many plays a shrinking stops at the next smaller scenario or when none is found. */
+    /** A shrinking looks for no smaller scenario after so many plays. */
     private static final int MAX_PLAYS = 200;
 
     private final Function<Settings, Dispatcher> dispatcherFactory;
@@ -42,7 +42,7 @@
         return smallest;
     }
 
-    /** Each scenario that is one step smaller; the most effective steps come first. */
+    /** The scenarios that are one step smaller, in the order in which they are tried. */
     private static List<Scenario> smallerVariants(Scenario scenario) {
         List<Scenario> all = new ArrayList<>();
         for (int i = 0; i < scenario.faults().size(); i++) {
