--- a/lab/src/main/java/wrenreach/lab/Rules.java
+++ b/lab/src/main/java/wrenreach/lab/Rules.java
@@ -378,21 +378,21 @@
     /** The mails of one key that a node accepted are sent one after the other and run in the order of acceptance. */
     private void checkOrder() {
         checkSendOrder();
-        Map<String, Integer> acceptedAs = new HashMap<>();
+        Map<String, Integer> positions = new HashMap<>();
         Map<String, Integer> latest = new TreeMap<>();
         int count = 0;
         for (Fact fact : facts) {
             if (fact instanceof Fact.Answered answered && answered.answer().equals("OK")) {
-                acceptedAs.put(answered.id(), count++);
+                positions.put(answered.id(), count++);
             }
         }
         for (Fact fact : facts) {
             // A copy that the node gave up or that the network held up may run at any time; no node can prevent that.
-            if (fact instanceof Fact.Ran run && acceptedAs.containsKey(run.id()) && !run.givenUp() && !mayBeHeldUp(run.at()) && !forgottenMails.contains(run.id())) {
+            if (fact instanceof Fact.Ran run && positions.containsKey(run.id()) && !run.givenUp() && !mayBeHeldUp(run.at()) && !forgottenMails.contains(run.id())) {
                 Fact.HandedIn mail = mails.get(run.id());
-                int own = acceptedAs.get(run.id());
-                int before = latest.merge(mail.node() + "/" + mail.key(), own, Math::max);
-                if (before > own) {
+                int position = positions.get(run.id());
+                int before = latest.merge(mail.node() + "/" + mail.key(), position, Math::max);
+                if (before > position) {
                     addViolation(Rule.ORDER, run.at(), run.id() + " ran after a later mail of its key " + mail.key());
                 }
             }
@@ -404,9 +404,9 @@
         Map<String, Fact.ToldWait> waits = new HashMap<>();
         for (Fact fact : facts) {
             if (fact instanceof Fact.ToldWait wait) {
-                boolean heard = !mayBeHeldUp(wait.at());
+                boolean arrived = !mayBeHeldUp(wait.at());
                 Fact.ToldWait before = waits.get(wait.node() + "/" + wait.destination());
-                if (heard && (before == null || before.at() + before.length() < wait.at() + wait.length())) {
+                if (arrived && (before == null || before.at() + before.length() < wait.at() + wait.length())) {
                     waits.put(wait.node() + "/" + wait.destination(), wait);
                 }
             } else if (fact instanceof Fact.Called call) {
--- a/lab/src/main/java/wrenreach/lab/Scenario.java
+++ b/lab/src/main/java/wrenreach/lab/Scenario.java
@@ -44,7 +44,11 @@
     /** Where a fault can be played: in memory (virtual time), with node processes, or both. */
     enum Environment { BOTH, MEMORY, PROCESSES }
 
-    /** The kinds of faults. New ones are added at the end: the days that are generated from a seed depend on the order. */
+    /**
+     * The kinds of faults. New ones are added at the end: the days that are generated from a seed depend on the order. KILL_WRITTEN
+     * kills the process after the next write of its journal, before any byte goes out; KILL_TORN in the middle of that write.
+     * VANISH and VANISH_NODE: the machine is gone without closing its connections.
+     */
     enum Kind {
         KILL(TargetType.NODE, Environment.BOTH), KILL_WRITTEN(TargetType.NODE, Environment.MEMORY), KILL_TORN(TargetType.NODE, Environment.MEMORY),
         VANISH_NODE(TargetType.NODE, Environment.BOTH), STOP(TargetType.NODE, Environment.BOTH), RELOAD(TargetType.NODE, Environment.BOTH),
