--- a/lab/src/main/java/wrenreach/lab/Clients.java
+++ b/lab/src/main/java/wrenreach/lab/Clients.java
@@ -10,13 +10,17 @@
 import java.util.Map;
 
 /**
- * Clients behind a front: mails come whatever becomes of those before (open loop), each waits 400 ms for its answer, is
- * handed in again under a new id after a refusal or silence while its time lasts, and a key's next waits for the answer
- * of the one before. The front notices late that a node has died.
+ * Clients behind a load balancer. Mails arrive at a rate that does not depend on the replies (open loop). Each waits 400 ms for its reply; after a
+ * refusal or no reply it is submitted again under a new id until its deadline. The next mail of a key waits for the reply to the one before.
+ * The load balancer notices with a delay that a node is down.
  */
 final class Clients {
-    private static final long NS_PER_MS = 1_000_000, REPLY_TIMEOUT_NS = 400 * NS_PER_MS, FAILOVER_DELAY_NS = 1500 * NS_PER_MS;
-    /** Keys a node: so that each of them has some. */
+    private static final long NS_PER_MS = 1_000_000;
+    /** How long a client waits for the reply to a submission, in nanoseconds. */
+    private static final long REPLY_TIMEOUT_NS = 400 * NS_PER_MS;
+    /** How long after a node went down the load balancer still sends requests to it, in nanoseconds. */
+    private static final long FAILOVER_DELAY_NS = 1500 * NS_PER_MS;
+    /** Number of order keys per node, so that each node gets some. */
     private static final int KEYS_PER_NODE = 20;
 
     private final class Mail {
@@ -53,7 +57,7 @@
         shareSum = classes.stream().mapToInt(Scenario.QueueClass::share).sum();
     }
 
-    /** Hands in mails at this rate (a second) until that instant. */
+    /** Submits mails at this rate per second, with exponentially distributed intervals, until that time. */
     void submitMails(double rate, long until) {
         long next = world.now() + world.nextExponential(1e9 / rate);
         if (next < until) {
@@ -62,9 +66,9 @@
                 int queueClass = drawClass();
                 Mail mail = new Mail("m" + mailCount++, queueClass, world.nextIntBelow(destinations), key,
                         world.now() + classes.get(queueClass).lifetimeMs() * NS_PER_MS);
-                Deque<Mail> line = queuesByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
-                line.addLast(mail);
-                if (line.size() == 1) {
+                Deque<Mail> queue = queuesByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
+                queue.addLast(mail);
+                if (queue.size() == 1) {
                     submit(mail);
                 }
                 submitMails(rate, until);
@@ -73,16 +77,16 @@
     }
 
     private int drawClass() {
-        int at = classes.size() > 1 ? world.nextIntBelow(shareSum) : 0;
+        int drawn = classes.size() > 1 ? world.nextIntBelow(shareSum) : 0;
         int queueClass = 0;
-        while (at >= classes.get(queueClass).share()) {
-            at -= classes.get(queueClass++).share();
+        while (drawn >= classes.get(queueClass).share()) {
+            drawn -= classes.get(queueClass++).share();
         }
         return queueClass;
     }
 
     private FleetNode chooseNode(String key) {
-        List<FleetNode> known = new ArrayList<>();
+        List<FleetNode> available = new ArrayList<>();
         for (FleetNode node : world.nodes) {
             if (node.up()) {
                 diedAt.remove(node.name);
@@ -90,60 +94,60 @@
                 diedAt.putIfAbsent(node.name, world.now());
             }
             if (node.up() || world.now() - diedAt.get(node.name) < FAILOVER_DELAY_NS) {
-                known.add(node);
+                available.add(node);
             }
         }
-        // A key keeps to its node while that one is there.
-        List<FleetNode> from = known.isEmpty() ? world.nodes : known;
+        // A key stays with its own node while that one is available.
+        List<FleetNode> candidates = available.isEmpty() ? world.nodes : available;
         FleetNode own = world.nodes.get(Math.floorMod(key.hashCode(), world.nodes.size()));
-        return from.contains(own) ? own : from.get(Math.floorMod(key.hashCode(), from.size()));
+        return candidates.contains(own) ? own : candidates.get(Math.floorMod(key.hashCode(), candidates.size()));
     }
 
     private void finish(Mail mail) {
-        Deque<Mail> line = queuesByKey.get(mail.key);
-        line.remove(mail);
-        if (!line.isEmpty()) {
-            submit(line.peekFirst());
+        Deque<Mail> queue = queuesByKey.get(mail.key);
+        queue.remove(mail);
+        if (!queue.isEmpty()) {
+            submit(queue.peekFirst());
         }
     }
 
     private void submit(Mail mail) {
-        long left = (mail.deadline - world.now()) / NS_PER_MS;
-        if (left <= 0) {
+        long remainingMs = (mail.deadline - world.now()) / NS_PER_MS;
+        if (remainingMs <= 0) {
             finish(mail);
             return;
         }
         String id = mail.idPrefix + "." + mail.submissions++;
         FleetNode node = chooseNode(mail.key);
         world.record(new Fact.HandedIn(world.now(), id, node.name, mail.queueClass, mail.destination, mail.key, mail.idPrefix, mail.deadline));
-        String fields = "c=" + classes.get(mail.queueClass).name() + ",t=shop,d=" + left + ",k=" + mail.idPrefix + ",dest=" + mail.destination
+        String fields = "c=" + classes.get(mail.queueClass).name() + ",t=shop,d=" + remainingMs + ",k=" + mail.idPrefix + ",dest=" + mail.destination
                 + (mail.submissions > 1 ? ",r=1" : "");
         StringBuilder request = new StringBuilder("*5\r\n");
         for (String word : List.of("ENQUEUE", mail.key, id, fields, "body of " + id)) {
             request.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
-        PendingRequest waiting = new PendingRequest(mail, id, node);
-        world.scheduleIn(REPLY_TIMEOUT_NS, waiting::timedOut);
+        PendingRequest pending = new PendingRequest(mail, id, node);
+        world.scheduleIn(REPLY_TIMEOUT_NS, pending::timedOut);
         world.network.connect(party, new InetSocketAddress("127.0.0.1", 1024 + port++ % 60_000), node.address,
                 new Network.ConnectHandler() {
             @Override public Network.End opened(Network.Link link) {
-                waiting.link = link;
-                if (waiting.finished) {
+                pending.link = link;
+                if (pending.finished) {
                     link.close(null);
                 } else {
-                    // The end is known to the link once this returns.
-                    world.scheduleAt(world.now(), () -> link.send(waiting, request.toString().getBytes(StandardCharsets.US_ASCII)));
+                    // Sent by an event of its own: the link knows its end only after this method has returned.
+                    world.scheduleAt(world.now(), () -> link.send(pending, request.toString().getBytes(StandardCharsets.US_ASCII)));
                 }
-                return waiting;
+                return pending;
             }
 
             @Override public void refused() {
-                waiting.answered("NONE", 50);
+                pending.answered("NONE", 50);
             }
         });
     }
 
-    /** One request under way. */
+    /** One request in flight. */
     private final class PendingRequest implements Network.End {
         private final Mail mail;
         private final String id;
@@ -181,7 +185,7 @@
             answered("NONE", 0);
         }
 
-        /** againMs: when to hand in again after a refusal or silence. */
+        /** Ends the request. againMs: delay in milliseconds until the next submission after a refusal or no reply; it gets a jitter of up to half. */
         void answered(String answer, int againMs) {
             if (finished) {
                 return;
--- a/lab/src/main/java/wrenreach/lab/EmulatedChannel.java
+++ b/lab/src/main/java/wrenreach/lab/EmulatedChannel.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** A node's connection over the world's network. */
+/** A node's connection over the emulated network, as a Netty channel. Used on the world's thread only. */
 final class EmulatedChannel extends AbstractChannel implements Network.End {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
@@ -35,7 +35,7 @@
     private boolean readPending;
     private Future<?> connectTimeout;
 
-    /** Options of real sockets are taken and mean nothing here. */
+    /** Accepts the options of real sockets, which have no effect here. */
     static final class Options extends DefaultChannelConfig {
         Options(Channel channel) {
             super(channel);
@@ -51,7 +51,7 @@
         this.node = node;
     }
 
-    /** One that a node's door has taken. */
+    /** A connection that the node's listening socket has accepted. */
     EmulatedChannel(Channel parent, InMemoryNode node, Network.Link link, InetSocketAddress remote) {
         super(parent);
         this.node = node;
@@ -59,7 +59,7 @@
         this.remote = remote;
     }
 
-    // ---- From the network: on the node's loop at the present instant ----
+    // ---- Called by the network; continues on the node's event loop at the same time ----
 
     @Override public void received(byte[] bytes) {
         inbound.add(bytes);
@@ -84,7 +84,7 @@
         }
     }
 
-    // ---- From Netty ----
+    // ---- Called by Netty ----
 
     @Override protected AbstractUnsafe newUnsafe() {
         return new AbstractUnsafe() {
--- a/lab/src/main/java/wrenreach/lab/EmulatedNetwork.java
+++ b/lab/src/main/java/wrenreach/lab/EmulatedNetwork.java
@@ -11,24 +11,25 @@
 import wrenreach.relay.Impairment;
 import wrenreach.relay.LinkDirection;
 
-/** The emulated network: delay, fragments, cuts, refused and silent connects, half-open connections. */
+/** The emulated network: delays, fragmentation, cuts, TCP connects that are refused or get no reply, half-open connections, datagrams. */
 final class EmulatedNetwork extends Network {
-    /** Something under way on a connection, in its place behind what was sent before. */
+    /** Something in transit on a connection, in order behind what was sent before. */
     static final class InTransit {
         final long at;
         final Runnable arrives;
-        /** It is the half that still goes through. */
+        /** It is the part of a message that still passes a direction that truncates. */
         final boolean passesTruncation;
+        /** The sender was killed before it was really sent: nothing arrives. */
         boolean takenBack;
 
-        InTransit(long at, Runnable arrives, boolean first) {
+        InTransit(long at, Runnable arrives, boolean passesTruncation) {
             this.at = at;
             this.arrives = arrives;
-            this.passesTruncation = first;
+            this.passesTruncation = passesTruncation;
         }
     }
 
-    /** One connection, seen from whom it was asked for (a) and who took it (b). */
+    /** One connection between the party that opened it and the one that accepted it. */
     private final class EmulatedLink extends Link {
         private End initiatorEnd;
         private End acceptorEnd;
@@ -42,22 +43,22 @@
         private long lastArrivalAtInitiator;
         private long lastArrivalAtAcceptor;
 
-        private EmulatedLink(Party a, Party b) {
-            super(a, b);
-            directionToAcceptor = direction(a.name, b.name);
-            directionToInitiator = direction(b.name, a.name);
-            a.links.add(this);
-            b.links.add(this);
+        private EmulatedLink(Party initiator, Party acceptor) {
+            super(initiator, acceptor);
+            directionToAcceptor = direction(initiator.name, acceptor.name);
+            directionToInitiator = direction(acceptor.name, initiator.name);
+            initiator.links.add(this);
+            acceptor.links.add(this);
         }
 
-        /** Sends bytes from one side; they come in order, maybe in pieces. */
+        /** Sends bytes from one side; they arrive in order, possibly in fragments. */
         @Override void send(End from, byte[] bytes) {
-            boolean toB = from == initiatorEnd;
-            Party sender = toB ? initiator : acceptor;
-            int passes = (toB ? directionToAcceptor : directionToInitiator).passedBytes(bytes.length);
-            if (passes < bytes.length) {
-                sendPiece(toB, sender, Arrays.copyOf(bytes, passes), true);
-                sendPiece(toB, sender, Arrays.copyOfRange(bytes, passes, bytes.length), false);
+            boolean toAcceptor = from == initiatorEnd;
+            Party sender = toAcceptor ? initiator : acceptor;
+            int passing = (toAcceptor ? directionToAcceptor : directionToInitiator).passedBytes(bytes.length);
+            if (passing < bytes.length) {
+                sendPiece(toAcceptor, sender, Arrays.copyOf(bytes, passing), true);
+                sendPiece(toAcceptor, sender, Arrays.copyOfRange(bytes, passing, bytes.length), false);
                 return;
             }
             int pieces = bytes.length > 1 && world.withProbability(FRAGMENTATION_PROBABILITY) ? 2 + world.nextIntBelow(3) : 1;
@@ -67,88 +68,96 @@
                 byte[] piece = Arrays.copyOfRange(bytes, at, end);
                 at = end;
                 if (piece.length > 0) {
-                    sendPiece(toB, sender, piece, false);
+                    sendPiece(toAcceptor, sender, piece, false);
                 }
             }
         }
 
-        private void sendPiece(boolean toB, Party sender, byte[] piece, boolean first) {
-            transmit(toB, sender, piece.length, first, () -> {
-                End to = toB ? acceptorEnd : initiatorEnd;
-                if (to != null && !(toB ? acceptorClosed : initiatorClosed)) {
+        private void sendPiece(boolean toAcceptor, Party sender, byte[] piece, boolean passesTruncation) {
+            transmit(toAcceptor, sender, piece.length, passesTruncation, () -> {
+                End to = toAcceptor ? acceptorEnd : initiatorEnd;
+                if (to != null && !(toAcceptor ? acceptorClosed : initiatorClosed)) {
                     to.received(piece);
-                } else if (vanished && (toB ? acceptor : initiator).up) {
-                    // A machine that is back does not know the connection any more.
-                    end(!toB);
+                } else if (vanished && (toAcceptor ? acceptor : initiator).up) {
+                    // A machine that is back does not know the connection any more, so the sender sees it reset.
+                    end(!toAcceptor);
                 }
             });
         }
 
-        /** One side closes; the other hears of it after all that was sent. */
+        /** Closes one side; the other is told after everything that was sent has arrived. */
         @Override void close(End from) {
-            boolean byA = from == initiatorEnd;
-            if (byA ? initiatorClosed : acceptorClosed) {
+            boolean byInitiator = from == initiatorEnd;
+            if (byInitiator ? initiatorClosed : acceptorClosed) {
                 return;
             }
-            initiatorClosed |= byA;
-            acceptorClosed |= !byA;
-            (byA ? initiator : acceptor).links.remove(this);
-            transmit(byA, byA ? initiator : acceptor, 0, false, () -> end(byA));
+            initiatorClosed |= byInitiator;
+            acceptorClosed |= !byInitiator;
+            (byInitiator ? initiator : acceptor).links.remove(this);
+            transmit(byInitiator, byInitiator ? initiator : acceptor, 0, false, () -> end(byInitiator));
         }
 
-        private void end(boolean atB) {
-            if (!(atB ? acceptorClosed : initiatorClosed)) {
-                initiatorClosed |= !atB;
-                acceptorClosed |= atB;
-                (atB ? acceptor : initiator).links.remove(this);
-                End end = atB ? acceptorEnd : initiatorEnd;
+        private void end(boolean atAcceptor) {
+            if (!(atAcceptor ? acceptorClosed : initiatorClosed)) {
+                initiatorClosed |= !atAcceptor;
+                acceptorClosed |= atAcceptor;
+                (atAcceptor ? acceptor : initiator).links.remove(this);
+                End end = atAcceptor ? acceptorEnd : initiatorEnd;
                 if (end != null) {
                     end.closed();
                 }
             }
         }
 
-        private void transmit(boolean toB, Party sender, int bytes, boolean first, Runnable work) {
-            LinkDirection way = toB ? directionToAcceptor : directionToInitiator;
-            long at = Math.max(world.now() + delay(initiator, acceptor) + way.delayNanos(world::nextUniform), (toB ? lastArrivalAtAcceptor : lastArrivalAtInitiator) + 1)
-                    + way.transferNanos(bytes);
-            lastArrivalAtAcceptor = toB ? at : lastArrivalAtAcceptor;
-            lastArrivalAtInitiator = toB ? lastArrivalAtInitiator : at;
-            InTransit flight = new InTransit(at, work, first);
+        private void transmit(boolean toAcceptor, Party sender, int bytes, boolean passesTruncation, Runnable work) {
+            LinkDirection direction = toAcceptor ? directionToAcceptor : directionToInitiator;
+            long at = Math.max(world.now() + delay(initiator, acceptor) + direction.delayNanos(world::nextUniform),
+                    (toAcceptor ? lastArrivalAtAcceptor : lastArrivalAtInitiator) + 1)
+                    + direction.transferNanos(bytes);
+            lastArrivalAtAcceptor = toAcceptor ? at : lastArrivalAtAcceptor;
+            lastArrivalAtInitiator = toAcceptor ? lastArrivalAtInitiator : at;
+            InTransit message = new InTransit(at, work, passesTruncation);
             if (sender.sentAt != world.now()) {
                 sender.sentAt = world.now();
                 sender.sentNow.clear();
             }
-            sender.sentNow.add(flight);
-            (toB ? this.inTransitToAcceptor : inTransitToInitiator).addLast(flight);
-            world.scheduleAt(at, () -> arrive(toB));
+            sender.sentNow.add(message);
+            (toAcceptor ? this.inTransitToAcceptor : inTransitToInitiator).addLast(message);
+            world.scheduleAt(at, () -> arrive(toAcceptor));
         }
 
-        /** What has arrived is heard in its order; what a cut holds up is sent again, as TCP does, until it is over. */
-        private void arrive(boolean atB) {
-            Deque<InTransit> line = atB ? inTransitToAcceptor : inTransitToInitiator;
-            while (!line.isEmpty() && line.peekFirst().at <= world.now()) {
-                LinkDirection way = atB ? directionToAcceptor : directionToInitiator;
-                if (way.isCut() || way.isTruncating() && !line.peekFirst().passesTruncation) {
-                    world.scheduleIn(RETRANSMIT_INTERVAL_NS, () -> arrive(atB));
+        /** Delivers what has arrived, in order. What a cut holds up is retransmitted, as TCP does, until the cut is over. */
+        private void arrive(boolean atAcceptor) {
+            Deque<InTransit> inTransit = atAcceptor ? inTransitToAcceptor : inTransitToInitiator;
+            while (!inTransit.isEmpty() && inTransit.peekFirst().at <= world.now()) {
+                LinkDirection direction = atAcceptor ? directionToAcceptor : directionToInitiator;
+                if (direction.isCut() || direction.isTruncating() && !inTransit.peekFirst().passesTruncation) {
+                    world.scheduleIn(RETRANSMIT_INTERVAL_NS, () -> arrive(atAcceptor));
                     return;
                 }
-                InTransit flight = line.pollFirst();
-                if (!flight.takenBack) {
-                    flight.arrives.run();
+                InTransit message = inTransit.pollFirst();
+                if (!message.takenBack) {
+                    message.arrives.run();
                 }
             }
         }
 
-        /** Whether the one who asked for the connection has closed its side. */
+        /** Whether the party that opened the connection has closed its side. */
         @Override boolean closedByInitiator() {
             return initiatorClosed;
         }
     }
 
+    /** Share of the messages that arrive in fragments. */
     private static final double FRAGMENTATION_PROBABILITY = 0.05;
+    /** Interval between two attempts to transmit what a cut holds up, in nanoseconds. */
     private static final long RETRANSMIT_INTERVAL_NS = 50_000_000;
-    private static final long MIN_DELAY_NS = 150_000, DELAY_SPREAD_NS = 300_000, CROSS_ZONE_DELAY_NS = 2_000_000;
+    /** Least one-way delay, in nanoseconds. */
+    private static final long MIN_DELAY_NS = 150_000;
+    /** Range of the random part of the one-way delay, in nanoseconds. */
+    private static final long DELAY_SPREAD_NS = 300_000;
+    /** Additional one-way delay between two zones, in nanoseconds. */
+    private static final long CROSS_ZONE_DELAY_NS = 2_000_000;
 
     private final World world;
     private final Map<InetSocketAddress, Listener> listeners = new HashMap<>();
@@ -175,13 +184,13 @@
         return directions.computeIfAbsent(from, f -> new HashMap<>(2)).computeIfAbsent(to, t -> new LinkDirection());
     }
 
-    /** What is under way looks at its way when it arrives. */
+    /** Does nothing: what is in transit checks its direction when it arrives. */
     @Override void impairmentsChanged(String a, String b) { }
 
     @Override void reset(String a, String b) {
         for (Listener listener : Set.copyOf(listeners.values())) {
-            for (Link one : List.copyOf(listener.party().links)) {
-                EmulatedLink link = (EmulatedLink) one;
+            for (Link open : List.copyOf(listener.party().links)) {
+                EmulatedLink link = (EmulatedLink) open;
                 if (link.initiator.name.equals(a) && link.acceptor.name.equals(b) || link.initiator.name.equals(b) && link.acceptor.name.equals(a)) {
                     link.end(true);
                     link.end(false);
@@ -191,23 +200,23 @@
     }
 
     @Override void setRelayDead(String a, String b, boolean dead) {
-        Impairment gone = new Impairment(Impairment.Kind.REFUSE, 0, 0);
+        Impairment refusal = new Impairment(Impairment.Kind.REFUSE, 0, 0);
         if (dead) {
-            direction(a, b).begin(gone);
+            direction(a, b).begin(refusal);
             reset(a, b);
         } else {
-            direction(a, b).end(gone);
+            direction(a, b).end(refusal);
         }
     }
 
-    /** Who takes datagrams at an address. */
+    /** Receives the datagrams to an address. */
     interface Mailbox {
         Party party();
 
         void received(InetSocketAddress from, byte[] bytes);
     }
 
-    /** Has datagrams to this address come to the mailbox; null: no more. */
+    /** Delivers datagrams to this address to the mailbox from now on; null for none. */
     void datagrams(InetSocketAddress at, Mailbox mailbox) {
         if (mailbox == null) {
             mailboxes.remove(at);
@@ -216,15 +225,15 @@
         }
     }
 
-    /** Sends a datagram; it comes once, never or twice, and nobody is told. */
+    /** Sends a datagram; it arrives once, never or twice, and the sender is not told. */
     void datagram(Party from, InetSocketAddress own, InetSocketAddress to, byte[] bytes) {
-        Mailbox asked = mailboxes.get(to);
-        if (asked == null) {
+        Mailbox target = mailboxes.get(to);
+        if (target == null) {
             return;
         }
-        LinkDirection way = direction(from.name, asked.party().name);
-        for (int i = way.copies(world::nextUniform); i > 0; i--) {
-            world.scheduleIn(delay(from, asked.party()) + way.delayNanos(world::nextUniform) + way.reorderingDelayNanos(world::nextUniform), () -> {
+        LinkDirection direction = direction(from.name, target.party().name);
+        for (int i = direction.copies(world::nextUniform); i > 0; i--) {
+            world.scheduleIn(delay(from, target.party()) + direction.delayNanos(world::nextUniform) + direction.reorderingDelayNanos(world::nextUniform), () -> {
                 Mailbox mailbox = mailboxes.get(to);
                 if (mailbox != null && mailbox.party().up) {
                     mailbox.received(own, bytes);
@@ -241,10 +250,10 @@
         listeners.remove(at, listener);
     }
 
-    /** Asks for a connection. Nothing is heard where a cut lies between, nor before a round trip has passed. */
-    @Override void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler asks) {
-        Listener known = listeners.get(to);
-        Party other = known == null ? from : known.party();
+    /** Opens a connection. There is no reply if the link is cut, and none before a round trip has passed. */
+    @Override void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler handler) {
+        Listener listenerNow = listeners.get(to);
+        Party other = listenerNow == null ? from : listenerNow.party();
         world.scheduleAt(world.now() + delay(from, other), () -> {
             Listener listener = listeners.get(to);
             if (listener != null && !listener.party().up) {
@@ -254,20 +263,20 @@
                 return;
             }
             if (listener == null || !listener.party().up || refuses(from, listener.party())) {
-                world.scheduleAt(world.now() + delay(from, other), asks::refused);
+                world.scheduleAt(world.now() + delay(from, other), handler::refused);
                 return;
             }
             EmulatedLink link = new EmulatedLink(from, listener.party());
             link.acceptorEnd = listener.accepted(link, own);
-            long back = world.now() + delay(from, other);
-            link.lastArrivalAtInitiator = back;
-            world.scheduleAt(back, () -> {
+            long openedAt = world.now() + delay(from, other);
+            link.lastArrivalAtInitiator = openedAt;
+            world.scheduleAt(openedAt, () -> {
                 if (!from.up) {
                     link.close(null);
                 } else if (!link.initiatorClosed) {
-                    link.initiatorEnd = asks.opened(link);
+                    link.initiatorEnd = handler.opened(link);
                 } else {
-                    asks.refused();
+                    handler.refused();
                 }
             });
         });
@@ -278,12 +287,12 @@
         party.up = true;
     }
 
-    /** The party's machine is gone without a word: who is connected to it hears nothing. */
+    /** Makes the party's machine vanish: the parties connected to it are told nothing. */
     @Override void vanish(Party party) {
         party.up = false;
         party.vanished = true;
-        for (Link one : party.links) {
-            EmulatedLink link = (EmulatedLink) one;
+        for (Link open : party.links) {
+            EmulatedLink link = (EmulatedLink) open;
             link.initiatorClosed |= link.initiator == party;
             link.acceptorClosed |= link.acceptor == party;
             link.vanished = true;
@@ -291,21 +300,21 @@
         party.links.clear();
     }
 
-    /** The party's process dies: its connections break. takeBack: what it sent at this instant never left it. */
+    /** Ends the party's process: its connections break. takeBack: what it sent at the current time is dropped, as if it had never left the process. */
     @Override void die(Party party, boolean takeBack) {
         party.up = false;
         if (takeBack && party.sentAt == world.now()) {
-            party.sentNow.forEach(flight -> flight.takenBack = true);
+            party.sentNow.forEach(message -> message.takenBack = true);
         }
-        for (Link one : List.copyOf(party.links)) {
-            EmulatedLink link = (EmulatedLink) one;
-            boolean isA = link.initiator == party;
-            party.foundGoneBy.add(isA ? link.acceptor : link.initiator);
-            link.initiatorClosed |= isA;
-            link.acceptorClosed |= !isA;
+        for (Link open : List.copyOf(party.links)) {
+            EmulatedLink link = (EmulatedLink) open;
+            boolean isInitiator = link.initiator == party;
+            party.foundGoneBy.add(isInitiator ? link.acceptor : link.initiator);
+            link.initiatorClosed |= isInitiator;
+            link.acceptorClosed |= !isInitiator;
             world.scheduleAt(world.now() + delay(link.initiator, link.acceptor), () -> {
-                if (!(isA ? link.directionToAcceptor : link.directionToInitiator).isCut()) {
-                    link.end(isA);
+                if (!(isInitiator ? link.directionToAcceptor : link.directionToInitiator).isCut()) {
+                    link.end(isInitiator);
                 }
             });
         }
--- a/lab/src/main/java/wrenreach/lab/EmulatedServerChannel.java
+++ b/lab/src/main/java/wrenreach/lab/EmulatedServerChannel.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** A node's door on the world's network. */
+/** A node's listening socket on the emulated network, as a Netty channel. */
 final class EmulatedServerChannel extends AbstractServerChannel implements Network.Listener {
     private final InMemoryNode node;
     private final ChannelConfig config = new EmulatedChannel.Options(this);
--- a/lab/src/main/java/wrenreach/lab/HttpConnection.java
+++ b/lab/src/main/java/wrenreach/lab/HttpConnection.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The side of a connection that answers HTTP requests; as much of it as nodes speak. */
+/** The server side of an HTTP connection, with the part of the protocol that nodes use. */
 abstract class HttpConnection implements Network.End {
-    /** One request; headers by their names in small letters. */
+    /** One request; the names of the headers are in lower case. */
     record Request(String method, String path, Map<String, String> headers, byte[] body) { }
 
     final Network.Link link;
@@ -20,10 +20,10 @@
         this.link = link;
     }
 
-    /** The first bytes of a request have come. */
+    /** Called when the first bytes of a request have arrived. */
     abstract void requestBegins(String head);
 
-    /** A request has come whole. */
+    /** Called when a request has arrived completely. */
     abstract void requestReceived(Request request);
 
     @Override public void received(byte[] bytes) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Writes an answer without a body. */
+    /** Writes a response without a body. */
     void respondWithoutBody(String status, String... headers) {
         write("HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n" + String.join("\r\n", headers)
                 + (headers.length > 0 ? "\r\n" : "") + "\r\n");
--- a/lab/src/main/java/wrenreach/lab/InMemoryNode.java
+++ b/lab/src/main/java/wrenreach/lab/InMemoryNode.java
@@ -31,22 +31,25 @@
 import wrenreach.node.Reload;
 import wrenreach.operator.OperatorFile;
 
-/** One delivery node as shipped, on the world's loop, network and disk; it can be killed and started again. */
+/**
+ * A delivery node with the product's own code, on an emulated event loop, network and disk. It can be killed and started again; all of it runs on
+ * the world's thread.
+ */
 final class InMemoryNode extends FleetNode {
-    /** Where in a turn a kill strikes. */
+    /** When, within an iteration of the event loop, a kill takes effect. */
     enum KillMoment {
-        /** Between two turns. */
+        /** Between two iterations. */
         BETWEEN,
-        /** After the journal's write and before any byte goes out. */
+        /** After the write to the journal and before any byte is sent. */
         WRITTEN,
-        /** In the middle of the journal's write. */
+        /** In the middle of the write to the journal. */
         TORN
     }
 
     private static final String JOURNAL = "journal";
-    /** When the platform starts a process again that has ended by itself. */
+    /** Delay after which the platform restarts a process that has ended by itself, in nanoseconds. */
     private static final long RESTART_DELAY_NS = 500_000_000;
-    /** For how long ids that have ended are known, in microseconds. */
+    /** For how long the store remembers the ids of completed mails, in microseconds. */
     private static final long DEDUPLICATION_US = 600_000_000;
     private static final int LEDGER_SALT = 1;
 
@@ -59,46 +62,52 @@
     private final OperatorFile operator;
     private final FileSystem disk;
     private final Path state;
-    /** Where a copy of the state folder is kept: not on the node's disk. */
+    /** Holds the copy of the state folder: a disk of its own, so that the copy takes no space of the node's disk. */
     private final FileSystem backupDisk;
     private final Path backupFolder;
     Network.Party party;
     private EmulatedEventLoop loop;
     private DeliveryNode node;
-    /** The process has ended by itself, and has been told to end or can't but do so. */
+    /** The process has ended by itself. */
     private boolean exited;
+    /** The process has been told to stop, or is bound to end after a failed write. */
     private boolean exitExpected;
+    /** Delay between the end of the process and its next start, in nanoseconds. */
     private long restartDelay;
     private Ledger journal;
-    /** The files that the last turn found. */
+    /** The journal's files before the last write. */
     private List<String> filesBefore = List.of();
+    /** The journal's files after the last write. */
     private List<String> files = List.of();
-    /** The instant at which the world looks at the node next: one event a node stands in the world's queue for it. */
+    /** When the world runs the node's event loop next: one event of the world's queue per node stands for it. */
     private long nextRunAt = Long.MAX_VALUE;
     private long journalSize;
     private long previousJournalSize;
+    /** When the journal was last seen to have changed its size; -1 for never. */
     private long lastWriteAt = -1;
     private int writeCount;
+    /** The number of the write at which the process is killed; -1 for none. */
     private int killAtWrite = -1;
     private KillMoment killMoment = KillMoment.BETWEEN;
     private Runnable afterKill = () -> { };
+    /** How many processes of the node have ended. */
     private int exitCount;
     private boolean frozen;
     private boolean readOnly;
-    /** What the network brought while the process stood still. */
+    /** Work that arrived while the process was frozen. */
     private final List<Runnable> deferredWork = new ArrayList<>();
 
-    /** operator: what the operator's file switches on beside the node. */
-    InMemoryNode(World world, String name, Config config, String json, int zone, boolean store,
-            Function<Settings, Dispatcher> module, OperatorFile operator) {
+    /** operator: the operator's file, which switches on subsystems of the node. */
+    InMemoryNode(World world, String name, Config config, String json, int zone, boolean usesStore,
+            Function<Settings, Dispatcher> dispatcherFactory, OperatorFile operator) {
         super(name, config.listen());
         this.operator = operator;
         this.world = world;
         this.config = config;
         this.json = json;
         this.zone = zone;
-        this.usesStore = store;
-        this.dispatcherFactory = module;
+        this.usesStore = usesStore;
+        this.dispatcherFactory = dispatcherFactory;
         disk = Jimfs.newFileSystem(Configuration.unix().toBuilder().setMaxSize(2 * config.diskBytes())
                 .setBlockSize(512).setMaxCacheSize(0).build());
         state = disk.getPath("/state");
@@ -121,9 +130,9 @@
             return;
         }
         if (startupFreeze > 0) {
-            long later = startupFreeze;
+            long delay = startupFreeze;
             startupFreeze = 0;
-            world.scheduleIn(later, this::startIfDown);
+            world.scheduleIn(delay, this::startIfDown);
             return;
         }
         party = new Network.Party(name);
@@ -139,9 +148,9 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        // Each life reads it anew: the list in it is the node's own.
-        node = new DeliveryNode(configOf(json), journal, settings -> new BreakerRecorder(dispatcherFactory.apply(settings), world, name), new Sockets(loop, () -> new EmulatedServerChannel(this),
-                () -> new EmulatedChannel(this), new MachineClocks(world::wallMillis, world::now, "lab")));
+        // Parsed again for each process: the endpoint list in the config belongs to one node and must not be shared.
+        node = new DeliveryNode(configOf(json), journal, settings -> new BreakerRecorder(dispatcherFactory.apply(settings), world, name),
+                new Sockets(loop, () -> new EmulatedServerChannel(this), () -> new EmulatedChannel(this), new MachineClocks(world::wallMillis, world::now, "lab")));
         for (Subsystem<?> subsystem : Experiment.Setup.virtualTimeSubsystems()) {
             add(subsystem);
         }
@@ -166,7 +175,7 @@
         return party.up;
     }
 
-    /** Kills the process after its n-th write from now on. */
+    /** Kills the process at its n-th write from now on, and then runs the action. */
     void killAtWrite(int write, KillMoment moment, Runnable then) {
         killAtWrite = writeCount + write;
         killMoment = moment;
@@ -177,16 +186,16 @@
         kill(KillMoment.BETWEEN);
     }
 
-    /** Kills the process; a torn or unsent turn only if it is of this instant. */
+    /** Kills the process. The last write is torn, or what was sent after it taken back, only if it happened at the current time. */
     void kill(KillMoment moment) {
         if (!party.up) {
             return;
         }
-        boolean lastTurn = lastWriteAt == world.now();
-        network().die(party, lastTurn && moment != KillMoment.BETWEEN);
+        boolean wroteNow = lastWriteAt == world.now();
+        network().die(party, wroteNow && moment != KillMoment.BETWEEN);
         try {
             journal.close();
-            if (lastTurn && moment == KillMoment.TORN && journalSize > previousJournalSize) {
+            if (wroteNow && moment == KillMoment.TORN && journalSize > previousJournalSize) {
                 truncateLastWrite((int) (journalSize - previousJournalSize));
             }
         } catch (IOException e) {
@@ -211,17 +220,17 @@
         }
     }
 
-    @Override void stop(long startsAfter) {
-        restartDelay = startsAfter;
+    @Override void stop(long newRestartDelay) {
+        restartDelay = newRestartDelay;
         exitExpected = true;
         if (!ignoresTerm) {
             run(() -> node.stop());
         }
-        int life = exitCount;
+        int exitsBefore = exitCount;
         world.scheduleIn(STOP_TIMEOUT_NS, () -> {
-            if (party.up && life == exitCount) {
+            if (party.up && exitsBefore == exitCount) {
                 kill();
-                world.scheduleIn(startsAfter, this::startIfDown);
+                world.scheduleIn(newRestartDelay, this::startIfDown);
             }
         });
     }
@@ -237,12 +246,12 @@
             frozen |= party.up;
         } else if (frozen) {
             frozen = false;
-            // What a selector says that wakes from a stop: nothing is ready. Time-outs go first, then what came meanwhile.
+            // A selector that wakes from a stop reports nothing as ready at first: timeouts run before the input that arrived meanwhile.
             if (loop != null) {
                 loop.runNow();
-                List<Runnable> came = List.copyOf(deferredWork);
+                List<Runnable> work = List.copyOf(deferredWork);
                 deferredWork.clear();
-                came.forEach(loop::execute);
+                work.forEach(loop::execute);
                 scheduleRun(world.now());
             }
         }
@@ -253,7 +262,7 @@
             switch (what) {
                 case KEPT_ASIDE -> copy(state, backupFolder);
                 case PUT_BACK -> {
-                    fillDisk(false); // Who puts a copy back makes room for it.
+                    fillDisk(false); // Whoever restores a copy makes room for it.
                     copy(backupFolder, state);
                 }
                 case LOST -> copy(disk.getPath("/nothing"), state);
@@ -264,25 +273,25 @@
         }
     }
 
-    /** Makes one folder hold what the other does; one that is not there holds nothing. */
+    /** Replaces the content of a folder by a copy of another one; a source that does not exist counts as empty. */
     static void copy(Path from, Path to) throws IOException {
         if (Files.exists(to)) {
             try (Stream<Path> all = Files.walk(to)) {
-                for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(one);
+                for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(path);
                 }
             }
         }
         Files.createDirectories(to);
         if (Files.exists(from)) {
             try (Stream<Path> all = Files.walk(from)) {
-                for (Path one : all.toList()) {
-                    Path copy = to.resolve(from.relativize(one).toString());
-                    if (Files.isDirectory(one)) {
+                for (Path path : all.toList()) {
+                    Path copy = to.resolve(from.relativize(path).toString());
+                    if (Files.isDirectory(path)) {
                         Files.createDirectories(copy);
                     } else {
-                        // Not Files.copy: between two file systems in memory it takes the room from the wrong one.
-                        Files.write(copy, Files.readAllBytes(one));
+                        // Not Files.copy: between two in-memory file systems it takes the space from the wrong one.
+                        Files.write(copy, Files.readAllBytes(path));
                     }
                 }
             }
@@ -300,19 +309,19 @@
     @Override void reload(int port) {
         run(() -> {
             try {
-                byte[] moved = json.replaceFirst("\"discovery\":\"([0-9.]+):\\d+\"", "\"discovery\":\"$1:" + port + "\"")
+                byte[] changedConfig = json.replaceFirst("\"discovery\":\"([0-9.]+):\\d+\"", "\"discovery\":\"$1:" + port + "\"")
                         .getBytes(StandardCharsets.US_ASCII);
-                node.reconfigured(() -> new ByteArrayInputStream(moved));
+                node.reconfigured(() -> new ByteArrayInputStream(changedConfig));
             } catch (Reload.RejectedFileException e) {
                 throw new IllegalStateException(e);
             }
         });
     }
 
-    /** The next write of the journal fails. */
+    /** Makes the next write of the journal fail. */
     void failWrite() {
         if (party.up) {
-            // A store that fails ends its node; a journal is made anew.
+            // A node ends when its store fails; a failed journal is created anew.
             exitExpected = usesStore;
             try {
                 journal.close();
@@ -322,7 +331,7 @@
         }
     }
 
-    /** Others fill the disk up to its last block, or free it again. */
+    /** Fills the disk up to its last block, as other users of it may, or frees it again. */
     void fillDisk(boolean full) {
         Path filler = disk.getPath("/filler");
         try {
@@ -355,7 +364,7 @@
                 continue;
             }
         } catch (IOException e) {
-            // No room for a block of this size: that is what was wanted.
+            // No space for a block of this size: the disk is as full as intended.
             return;
         }
     }
@@ -368,14 +377,14 @@
         }
     }
 
-    /** Takes back part of the last write; not where the turn went on to delete files, which comes after it. */
+    /** Cuts off part of the last write, unless the iteration also deleted files: these are deleted after the write, so that it was complete. */
     private void truncateLastWrite(int written) throws IOException {
-        List<String> now = files();
-        if (!now.containsAll(filesBefore)) {
+        List<String> current = files();
+        if (!current.containsAll(filesBefore)) {
             return;
         }
         Path folder = usesStore ? state.resolve(Journal.STORE) : state;
-        try (FileChannel file = FileChannel.open(folder.resolve(now.get(now.size() - 1)), StandardOpenOption.WRITE)) {
+        try (FileChannel file = FileChannel.open(folder.resolve(current.get(current.size() - 1)), StandardOpenOption.WRITE)) {
             file.truncate(Math.max(0, file.size() - 1 - world.nextIntBelow(written)));
         }
     }
@@ -384,7 +393,7 @@
         return world.network;
     }
 
-    /** Has work done on the node's loop at this instant. */
+    /** Runs work on the node's event loop at the current time; a frozen process runs it when it goes on, one that is down never. */
     void run(Runnable work) {
         if (frozen) {
             deferredWork.add(work);
@@ -398,7 +407,7 @@
         if (when < nextRunAt) {
             nextRunAt = when;
             world.scheduleAt(when, () -> {
-                // One that an earlier look has overtaken is of no more use.
+                // An event that was overtaken by an earlier one is obsolete.
                 if (nextRunAt == when) {
                     runDueTasks();
                 }
@@ -406,7 +415,7 @@
         }
     }
 
-    /** Runs what is due, and comes back for what is next. */
+    /** Runs the tasks that are due, applies a kill that was set for this write, and schedules the next run. */
     private void runDueTasks() {
         nextRunAt = Long.MAX_VALUE;
         if (loop == null || frozen) {
@@ -414,7 +423,7 @@
         }
         EmulatedEventLoop running = loop;
         while (running.runNow() > 0) {
-            // A turn's end is a task of its own.
+            // The end of an iteration is a task of its own, so that one pass is not enough.
             continue;
         }
         if (exited) {
@@ -423,15 +432,15 @@
             world.scheduleIn(restartDelay, this::startIfDown);
             return;
         }
-        long after = journal.size();
-        if (after != journalSize) {
+        long newSize = journal.size();
+        if (newSize != journalSize) {
             writeCount++;
             if (usesStore) {
                 recordFiles();
             }
             lastWriteAt = world.now();
-            previousJournalSize = after > journalSize ? journalSize : after;
-            journalSize = after;
+            previousJournalSize = newSize > journalSize ? journalSize : newSize;
+            journalSize = newSize;
             if (writeCount == killAtWrite) {
                 kill(killMoment);
                 afterKill.run();
--- a/lab/src/main/java/wrenreach/lab/Network.java
+++ b/lab/src/main/java/wrenreach/lab/Network.java
@@ -9,29 +9,29 @@
 import java.util.Set;
 import wrenreach.relay.LinkDirection;
 
-/** What lies between parties: emulated, or the machine's loopback. All of it is used on the world's one thread. */
+/** The network between the parties: emulated, or the machine's loopback. All of it is used on the world's thread only. */
 abstract class Network {
     /** One end of a connection. */
     interface End {
-        /** Bytes have come. */
+        /** Called when bytes have arrived. */
         void received(byte[] bytes);
 
-        /** The other side has closed, or the connection broke. */
+        /** Called when the other side has closed, or the connection broke. */
         void closed();
     }
 
-    /** Who takes connections at an address. */
+    /** Accepts connections at an address. */
     interface Listener {
         /** The party that listens. */
         Party party();
 
-        /** A connection has come up; the end that will hear of it. */
+        /** Called for a new connection; returns the end that is told of its events. */
         End accepted(Link link, InetSocketAddress from);
     }
 
-    /** Who waits for a connect. */
+    /** Receives the result of a TCP connect; it is told nothing if there is no reply. */
     interface ConnectHandler {
-        /** It came up; the end that will hear of it. */
+        /** Called when the connection is established; returns the end that is told of its events. */
         End opened(Link link);
 
         void refused();
@@ -41,14 +41,14 @@
     static final class Party {
         final String name;
         final Set<Link> links = new LinkedHashSet<>();
-        /** What it sent at the present instant: a kill at that instant may take it back. */
+        /** What it sent at {@link #sentAt}: a kill at the same time may take it back. */
         final List<EmulatedNetwork.InTransit> sentNow = new ArrayList<>();
         long sentAt = -1;
         boolean up = true;
-        /** While it is not up: whether it is gone without a word. */
+        /** While it is not up: whether it vanished, so that its connections were neither closed nor reset. */
         boolean vanished;
         int zone;
-        /** Who found it gone since it was last up. */
+        /** The parties that noticed that it is down, since it was last up. */
         final Set<Party> foundGoneBy = Collections.newSetFromMap(new IdentityHashMap<>());
 
         Party(String name) {
@@ -56,23 +56,23 @@
         }
     }
 
-    /** One connection, seen from whom it was asked for (a) and who took it (b). */
+    /** One connection between the party that opened it and the one that accepted it. */
     abstract static class Link {
         final Party initiator;
         final Party acceptor;
 
-        Link(Party a, Party b) {
-            this.initiator = a;
-            this.acceptor = b;
+        Link(Party initiator, Party acceptor) {
+            this.initiator = initiator;
+            this.acceptor = acceptor;
         }
 
         /** Sends bytes from one side. */
         abstract void send(End from, byte[] bytes);
 
-        /** One side closes; the other hears of it after all that was sent. */
+        /** Closes one side; the other is told after everything that was sent has arrived. */
         abstract void close(End from);
 
-        /** Whether the one who asked for the connection has closed its side. */
+        /** Whether the party that opened the connection has closed its side. */
         abstract boolean closedByInitiator();
     }
 
@@ -80,27 +80,27 @@
 
     abstract void unlisten(InetSocketAddress at, Listener listener);
 
-    /** Asks for a connection; it comes up, is refused, or nothing is heard. */
-    abstract void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler asks);
+    /** Opens a connection: it is established, refused, or gets no reply. */
+    abstract void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler handler);
 
-    /** One way between two parties, by their names; who changes it says so with {@link #changed}. */
+    /** One direction of the link between two parties, by their names; whoever changes it calls {@link #impairmentsChanged} after it. */
     abstract LinkDirection direction(String from, String to);
 
-    /** What is wrong between the two, either way, has changed. */
+    /** Tells that the impairments of the link between the two parties have changed, in either direction. */
     abstract void impairmentsChanged(String a, String b);
 
-    /** All connections between the two break. */
+    /** Resets all connections between the two parties. */
     abstract void reset(String a, String b);
 
-    /** What carries the links between the two dies with all connections, or is there again. */
+    /** Stops the relay between the two parties, which breaks all connections through it, or starts it again. */
     abstract void setRelayDead(String a, String b, boolean dead);
 
-    /** The party's process dies: its connections break. takeBack: what it sent at this instant never left it. */
+    /** Ends the party's process: its connections break. takeBack: what it sent at the current time is dropped, as if it had never left the process. */
     abstract void die(Party party, boolean takeBack);
 
-    /** The party's machine is gone without a word. */
+    /** Makes the party's machine vanish: its connections are neither closed nor reset. */
     abstract void vanish(Party party);
 
-    /** The party is back. */
+    /** Brings the party back after {@link #die} or {@link #vanish}. */
     abstract void revive(Party party);
 }
--- a/lab/src/main/java/wrenreach/lab/Platform.java
+++ b/lab/src/main/java/wrenreach/lab/Platform.java
@@ -8,8 +8,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Discovery and the platform, as one node's agent shows them. */
+/** A stand-in for discovery and for the platform that takes notices of ended mails, as one node sees them. */
 final class Platform implements Network.Listener {
+    /** Interval between two blank lines that keep a list stream alive, in nanoseconds. */
     private static final long HEARTBEAT_INTERVAL_NS = 2_000_000_000L;
     private static final Pattern NOTICE = Pattern.compile("\"id\":\"([^\"]+)\",\"status\":\"([^\"]+)\"");
 
@@ -19,7 +20,7 @@
     private final Supplier<String> list;
     private final List<HttpConnection> listStreams = new ArrayList<>();
 
-    /** It is to be had at the address and at the next port. list: the whole list as discovery words it, at the instant it is asked for. */
+    /** Listens at the address and at the next port. list: supplies the current endpoint list, whole, in the format of discovery. */
     Platform(World world, String node, InetSocketAddress address, Supplier<String> list) {
         this.world = world;
         this.node = node;
@@ -35,18 +36,18 @@
     }
 
     private void sendHeartbeats() {
-        listStreams.removeIf(watch -> watch.closed);
-        listStreams.forEach(watch -> writeChunk(watch, "\n"));
+        listStreams.removeIf(stream -> stream.closed);
+        listStreams.forEach(stream -> writeChunk(stream, "\n"));
         world.scheduleIn(HEARTBEAT_INTERVAL_NS, this::sendHeartbeats);
     }
 
-    private static void writeChunk(HttpConnection watch, String text) {
-        watch.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void writeChunk(HttpConnection stream, String text) {
+        stream.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** The list has changed. */
+    /** Sends the current list on all streams, as it has changed. */
     void listChanged() {
-        listStreams.forEach(watch -> writeChunk(watch, list.get() + "\n"));
+        listStreams.forEach(stream -> writeChunk(stream, list.get() + "\n"));
     }
 
     @Override public Network.End accepted(Network.Link link, InetSocketAddress from) {
--- a/lab/src/main/java/wrenreach/lab/ProcessNode.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessNode.java
@@ -17,42 +17,49 @@
 import wrenreach.node.DeliveryNode;
 
 /**
- * A delivery node as operators run it: a process of its own, `serve` on a config file and a state folder. It is known by its
- * process id and ended by it.
+ * A delivery node as operators run it: a process of its own that runs the command `serve` on a config file and a state folder. Signals go to its
+ * process id only. Apart from the reading of its log, all of it runs on the event loop of the run.
  */
 final class ProcessNode extends FleetNode {
-    /** When the platform starts a process again that has ended by itself; between two looks whether it listens. */
-    private static final long RESTART_DELAY_NS = 500_000_000, PROBE_INTERVAL_NS = 20_000_000;
-    private static final String OPERATOR = "operator.toml", CONFIG = "config.json", MAIN = "wrenreach.app.Launch";
-    /** Options as small machines have them. */
+    /** Delay after which the platform restarts a process that has ended by itself, in nanoseconds. */
+    private static final long RESTART_DELAY_NS = 500_000_000;
+    /** Interval between two probes whether the process listens yet, in nanoseconds. */
+    private static final long PROBE_INTERVAL_NS = 20_000_000;
+    /** Name of the operator's file. */
+    private static final String OPERATOR = "operator.toml";
+    /** Name of the config file. */
+    private static final String CONFIG = "config.json";
+    /** The product's main class. */
+    private static final String MAIN = "wrenreach.app.Launch";
+    /** JVM options for small machines. */
     private static final List<String> JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx48m", "-XX:MaxDirectMemorySize=68m",
             "-XX:TieredStopAtLevel=1");
 
-    /** What a node is run from: a class path, and a class with the words that go before those of every node. */
+    /** The build that a node runs: a class path, and a main class with arguments that precede those common to all nodes. */
     record Build(String classPath, List<String> mainCommand) {
         private static final String CLASS = "class ";
 
-        /** The build that plays. */
+        /** The build that runs the lab itself. */
         static Build own() {
             return new Build(ProcessNode.classPath(), List.of(MAIN));
         }
 
-        /** A jar, a checkout's folder, or "class NAME WORDS": a class of the build that plays, which stands in for the product. */
+        /** Parses a jar, the folder of a checkout, or "class NAME WORDS": a class of the lab's own build, with its arguments, that replaces the product. */
         static Build of(String text) {
             if (text.startsWith(CLASS)) {
                 return new Build(ProcessNode.classPath(), List.of(text.substring(CLASS.length()).strip().split("\\s+")));
             }
-            Path place = Path.of(text);
-            return new Build((Files.isDirectory(place) ? place.resolve("target/wrenreach.jar") : place).toString(), List.of(MAIN));
+            Path path = Path.of(text);
+            return new Build((Files.isDirectory(path) ? path.resolve("target/wrenreach.jar") : path).toString(), List.of(MAIN));
         }
 
-        /** Why the text names no build; empty: it does. */
+        /** Why the text names no build; empty if it does. */
         static String objection(String text) {
             return text.startsWith(CLASS) || Files.exists(Path.of(of(text).classPath)) ? "" : "there is no " + of(text).classPath;
         }
     }
 
-    /** What all nodes of a run share. log: takes each line that a node writes, with its name, on a thread of the node's own. */
+    /** What all nodes of a run share. log receives each line that a node writes, with the node's name, on a thread of that node. */
     record RunContext(RealWorld world, EventLoop loop, Relays relays, ProcessReaper reaper, Path folder, long seed, Consumer<String> log) { }
 
     private final RunContext run;
@@ -60,27 +67,31 @@
     private final Build build;
     private final Path folder;
     private final Path state;
-    /** Where it listens itself; clients find it behind a relay. */
+    /** Where the process itself listens; clients reach it through a relay. */
     private final InetSocketAddress listenAddress;
     private final Network.Party probeParty = new Network.Party("looks");
-    /** Its failing system calls; null: none is ever to fail. */
+    /** Makes its system calls fail; null if none is ever to fail. */
     private final SystemCallFaults systemCalls;
     private Process process;
+    /** Whether the process has listened since its last start. */
     private boolean serves;
+    /** The run is over: no process is started any more. */
     private boolean endedForGood;
-    /** The process has been ended or told to end, or can't start. */
+    /** The process has been killed or told to stop, or can't start: its end is no fault of its own. */
     private boolean exitExpected;
+    /** A kill at the next write is set, and to be cleared once the process is gone. */
     private boolean killInWritePending;
+    /** The machine has vanished: its links pass nothing until the next start. */
     private boolean isolated;
     private long restartDelay;
 
-    /** json: its config; operator: the operator's file, empty: none; failsCalls: whether its system calls may be made to fail. */
-    ProcessNode(RunContext run, Build build, String name, InetSocketAddress front, InetSocketAddress listens, String json, String operator,
+    /** json: the config; operator: the text of the operator's file, empty for none; failsCalls: whether its system calls may be made to fail. */
+    ProcessNode(RunContext run, Build build, String name, InetSocketAddress clientAddress, InetSocketAddress listenAddress, String json, String operator,
             boolean failsCalls) {
-        super(name, front);
+        super(name, clientAddress);
         this.run = run;
         this.build = build;
-        this.listenAddress = listens;
+        this.listenAddress = listenAddress;
         world = run.world;
         folder = run.folder.resolve(name);
         state = folder.resolve("state");
@@ -111,22 +122,22 @@
             isolated = false;
             run.relays.isolate(name, false);
         }
-        List<String> words = new ArrayList<>();
+        List<String> command = new ArrayList<>();
         if (ignoresTerm) {
-            // Ignored when a JVM begins, the signal stays so.
-            words.addAll(List.of("/bin/sh", "-c", "trap '' TERM; exec \"$@\"", "sh"));
+            // A signal that is ignored when a JVM starts stays ignored.
+            command.addAll(List.of("/bin/sh", "-c", "trap '' TERM; exec \"$@\"", "sh"));
         }
-        words.add(java());
-        words.addAll(JVM_OPTIONS);
-        words.addAll(List.of("-cp", build.classPath));
-        words.addAll(build.mainCommand);
-        words.addAll(List.of("serve", "--config",
+        command.add(java());
+        command.addAll(JVM_OPTIONS);
+        command.addAll(List.of("-cp", build.classPath));
+        command.addAll(build.mainCommand);
+        command.addAll(List.of("serve", "--config",
                 folder.resolve(failsToStart ? "no-config.json" : CONFIG).toString(), "--state", state.toString()));
         if (Files.exists(folder.resolve(OPERATOR))) {
-            words.addAll(List.of("--operator", folder.resolve(OPERATOR).toString()));
+            command.addAll(List.of("--operator", folder.resolve(OPERATOR).toString()));
         }
         try {
-            ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
+            ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
             if (systemCalls != null) {
                 systemCalls.addToEnvironment(builder.environment());
             }
@@ -136,9 +147,9 @@
         }
         Process started = process;
         run.reaper.started(started.toHandle());
-        Thread reads = new Thread(() -> readLog(started), "log-" + name);
-        reads.setDaemon(true);
-        reads.start();
+        Thread logReader = new Thread(() -> readLog(started), "log-" + name);
+        logReader.setDaemon(true);
+        logReader.start();
         process.onExit().thenRun(() -> {
             run.reaper.ended(started.pid());
             if (!run.loop.isShuttingDown()) {
@@ -146,10 +157,10 @@
             }
         });
         if (startupFreeze > 0) {
-            long length = startupFreeze;
+            long delay = startupFreeze;
             startupFreeze = 0;
             signal("STOP");
-            world.scheduleIn(length, () -> {
+            world.scheduleIn(delay, () -> {
                 if (started == process) {
                     signal("CONT");
                 }
@@ -162,11 +173,11 @@
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    /** The project's jar, or what this process runs on where it runs on no jar. */
+    /** The project's jar, or the class path of this process if it does not run from the jar. */
     static String classPath() {
         try {
-            File own = new File(DeliveryNode.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            return own.getName().equals("wrenreach.jar") ? own.getPath() : System.getProperty("java.class.path");
+            File codeSource = new File(DeliveryNode.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            return codeSource.getName().equals("wrenreach.jar") ? codeSource.getPath() : System.getProperty("java.class.path");
         } catch (URISyntaxException e) {
             throw new IllegalStateException(e);
         }
@@ -223,7 +234,7 @@
         }
     }
 
-    /** Whether it has served since its last start. */
+    /** Whether the process has listened since its last start. */
     boolean serves() {
         return serves;
     }
@@ -234,7 +245,7 @@
             exitExpected = true;
             process.destroyForcibly();
             try {
-                // What comes next is done to the folder of a process that is gone. A kill takes milliseconds.
+                // The caller may change the state folder next, so the process must be gone. A kill takes milliseconds.
                 process.waitFor();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -242,11 +253,11 @@
         }
     }
 
-    @Override void stop(long startsAfter) {
+    @Override void stop(long newRestartDelay) {
         if (!up()) {
             return;
         }
-        restartDelay = startsAfter;
+        restartDelay = newRestartDelay;
         exitExpected = true;
         Process stopping = process;
         signal("TERM");
@@ -271,20 +282,20 @@
 
     @Override void changeStateFolder(State what) {
         Path aside = folder.resolve("aside");
-        Path away = folder.resolve("away");
+        Path moved = folder.resolve("away");
         try {
             switch (what) {
                 case KEPT_ASIDE -> InMemoryNode.copy(state, aside);
                 case PUT_BACK -> InMemoryNode.copy(aside, state);
                 case LOST -> InMemoryNode.copy(folder.resolve("nothing"), state);
-                // A mode of the folder would not stop the superuser; a file in the folder's place stops everyone.
+                // Permissions would not stop the superuser; a file in place of the folder stops everyone.
                 case READ_ONLY -> {
-                    Files.move(state, away);
+                    Files.move(state, moved);
                     Files.writeString(state, "");
                 }
                 case WRITABLE -> {
                     Files.delete(state);
-                    Files.move(away, state);
+                    Files.move(moved, state);
                 }
             }
         } catch (IOException e) {
@@ -299,9 +310,9 @@
         }
     }
 
-    @Override void killInWrite(long startsAfter) {
+    @Override void killInWrite(long newRestartDelay) {
         if (up()) {
-            restartDelay = startsAfter;
+            restartDelay = newRestartDelay;
             exitExpected = true;
             killInWritePending = true;
             systemCalls.fail(SystemCallFaults.Call.FOLDER, 1, SystemCallFaults.KILLED_IN_WRITE);
@@ -325,12 +336,12 @@
         }
     }
 
-    /** Sends a signal to the process by its id; the shell knows all of them, Java few. */
+    /** Sends a signal to the process by its id, by means of the shell: Java can send only a few signals. */
     private void signal(String name) {
         try {
-            int code = new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
-            if (code != 0 && process.isAlive()) {
-                throw new IOException("kill -" + name + " ended with " + code);
+            int exitCode = new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
+            if (exitCode != 0 && process.isAlive()) {
+                throw new IOException("kill -" + name + " ended with " + exitCode);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -339,7 +350,7 @@
         }
     }
 
-    /** Ends the process for good. */
+    /** Kills the process and starts no other. */
     void endForGood() {
         endedForGood = true;
         if (process != null) {
--- a/lab/src/main/java/wrenreach/lab/ProcessReaper.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessReaper.java
@@ -15,15 +15,15 @@
 import java.util.Optional;
 
 /**
- * A process beside a run that outlives it for a moment: it is told each process that the run starts, and ends those that are
- * left when the run's own process is gone, however it went. A process is known by its id and the instant at which it began,
- * so that one which got the same id later is not touched.
+ * A helper process that kills the processes that a run leaves behind, however the run's own process ended. It is told each process that the run
+ * starts, and outlives the run for a moment. A process is identified by its id and its start time, so that another one that got the same id later
+ * is not killed.
  */
 public final class ProcessReaper implements AutoCloseable {
     private final Process process;
     private final PrintStream commands;
 
-    /** Starts the keeper's process; it needs nothing but where this class lies. */
+    /** Starts the helper process; its class path is only the place of this class. */
     ProcessReaper() throws IOException {
         String classPath;
         try {
@@ -36,12 +36,12 @@
         commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
-    /** The run has started this process. */
-    synchronized void started(ProcessHandle one) {
-        commands.println("+ " + one.pid() + " " + one.info().startInstant().map(Instant::toEpochMilli).orElse(0L));
+    /** Reports a process that the run has started. */
+    synchronized void started(ProcessHandle handle) {
+        commands.println("+ " + handle.pid() + " " + handle.info().startInstant().map(Instant::toEpochMilli).orElse(0L));
     }
 
-    /** It has ended. */
+    /** Reports that a process has ended. */
     synchronized void ended(long pid) {
         commands.println("- " + pid);
     }
@@ -50,29 +50,29 @@
         return process.isAlive();
     }
 
-    /** The run is over, and so is the keeper; what it still knows of is ended. */
+    /** Ends the helper process, which first kills the processes that it still knows of. */
     @Override public void close() {
         commands.close();
     }
 
-    /** Reads what has started and ended until the run is gone. */
-    public static void main(String[] none) throws IOException {
-        Map<Long, Long> alive = new HashMap<>();
-        BufferedReader told = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
-        for (String line = told.readLine(); line != null; line = told.readLine()) {
+    /** Reads starts and ends from standard input until the run is gone, and then kills the processes that are left. */
+    public static void main(String[] args) throws IOException {
+        Map<Long, Long> startedAt = new HashMap<>();
+        BufferedReader reports = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
+        for (String line = reports.readLine(); line != null; line = reports.readLine()) {
             String[] words = line.split(" ");
             if (words[0].equals("+") && words.length == 3) {
-                alive.put(Long.parseLong(words[1]), Long.parseLong(words[2]));
+                startedAt.put(Long.parseLong(words[1]), Long.parseLong(words[2]));
             } else if (words[0].equals("-") && words.length == 2) {
-                alive.remove(Long.parseLong(words[1]));
+                startedAt.remove(Long.parseLong(words[1]));
             }
         }
-        List<Long> pids = new ArrayList<>(alive.keySet());
+        List<Long> pids = new ArrayList<>(startedAt.keySet());
         for (long pid : pids) {
-            Optional<ProcessHandle> one = ProcessHandle.of(pid);
-            long began = one.flatMap(handle -> handle.info().startInstant()).map(Instant::toEpochMilli).orElse(-1L);
-            if (one.isPresent() && began == alive.get(pid)) {
-                one.get().destroyForcibly();
+            Optional<ProcessHandle> process = ProcessHandle.of(pid);
+            long began = process.flatMap(handle -> handle.info().startInstant()).map(Instant::toEpochMilli).orElse(-1L);
+            if (process.isPresent() && began == startedAt.get(pid)) {
+                process.get().destroyForcibly();
             }
         }
     }
--- a/lab/src/main/java/wrenreach/lab/RealWorld.java
+++ b/lab/src/main/java/wrenreach/lab/RealWorld.java
@@ -4,10 +4,12 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 
-/** The same stand-ins in real time, on one event loop and the machine's loopback. All but {@link #stop} is the loop's. */
+/** Runs the same stand-ins in real time, on one event loop and the machine's loopback. All but {@link #now} and {@link #failed} is used on that loop. */
 final class RealWorld extends World {
-    /** Between two looks at the own lateness, and from when on what the clocks say is doubted. */
-    private static final long LATENESS_CHECK_INTERVAL_NS = 10_000_000, LATENESS_LIMIT_NS = 40_000_000;
+    /** Interval between two checks how late this loop itself is, in nanoseconds. */
+    private static final long LATENESS_CHECK_INTERVAL_NS = 10_000_000;
+    /** Lateness from which on the recorded times are not trusted and the fact is recorded, in nanoseconds. */
+    private static final long LATENESS_LIMIT_NS = 40_000_000;
     private final EventLoop loop;
     private final long origin = System.nanoTime() - START_NS;
     private volatile Throwable failed;
@@ -17,7 +19,7 @@
         this.loop = loop;
     }
 
-    /** Notes from now on when this loop itself is late. */
+    /** Records from now on when this loop itself is late. */
     void watchLateness() {
         long due = now() + LATENESS_CHECK_INTERVAL_NS;
         scheduleAt(due, () -> {
@@ -39,17 +41,17 @@
                 try {
                     work.run();
                 } catch (RuntimeException | Error e) {
-                    // What a stand-in can't bear would make the figures wrong: it ends the play.
+                    // A failure of a stand-in would make the figures wrong, so it ends the run.
                     failed = e;
                 }
             }, when - now(), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
-            // The play is over.
+            // The loop has been shut down: the run is over.
             return;
         }
     }
 
-    /** What went wrong with a stand-in; null: nothing. */
+    /** The failure of a stand-in; null if there was none. */
     Throwable failed() {
         return failed;
     }
--- a/lab/src/main/java/wrenreach/lab/Receiver.java
+++ b/lab/src/main/java/wrenreach/lab/Receiver.java
@@ -11,17 +11,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One endpoint: slots, a queue before them, service time, a limit that is cold after a return, the ways in which it fails. */
+/**
+ * A stand-in for one endpoint: it has slots, a queue before them and a service time, is slow at first after a return (slow start), and can be made
+ * to fail in several ways.
+ */
 final class Receiver implements Network.Listener {
     private static final long NS_PER_SECOND = 1_000_000_000;
 
-    /** A call that came; knew: its node had found the receiver gone. */
+    /** A call that arrived, and whether its node had noticed that the receiver was down. */
     private record ReceivedCall(long at, boolean fromNodeThatFoundItGone) { }
 
-    /** Slots, calls that may wait for one, mean service time when warm. */
-    private static final int SLOTS = 6, QUEUE_LIMIT = 12;
-    /** Below so many calls chance weighs more. */
+    /** Number of calls that are served at a time. */
+    private static final int SLOTS = 6;
+    /** Number of calls that may wait for a slot; further ones are answered with 503. */
+    private static final int QUEUE_LIMIT = 12;
+    /** Below so many calls chance has more weight, and a larger tolerance is granted. */
     private static final int SMALL_BUDGET_CALLS = 30;
+    /** Mean service time at full speed, in nanoseconds. */
     private static final double MEAN_SERVICE_NS = 0.03 * NS_PER_SECOND;
 
     final String name;
@@ -38,32 +44,32 @@
     private int busySlots;
     /** Calls that wait for a slot. */
     private final Deque<Runnable> queue = new ArrayDeque<>();
-    /** Counts returns: what began before the last one does not end. */
+    /** Counts the times that it went down: calls begun before the last one are never completed. */
     private int generation;
     private long backAt = Long.MIN_VALUE / 2;
     private boolean pushedOver;
     private final Deque<ReceivedCall> recentCalls = new ArrayDeque<>();
     private final Set<Network.Party> foundGoneBy = Collections.newSetFromMap(new IdentityHashMap<>());
-    /** The connections on which a call of a mail is unanswered. */
+    /** The connections with an unanswered call, by the id of the mail. */
     private final Map<String, List<Network.Link>> unansweredLinks = new HashMap<>();
 
-    /** The figures of the rules: of the settings, times in seconds. */
+    /** The last four figures are those of the settings, with times in seconds. */
     Receiver(World world, String name, InetSocketAddress address, int destination, int zone,
-             double coldFrom, double cold, double overload, double tipAfter) {
+             double coldStartShare, double warmUpSeconds, double overloadFactor, double overloadWindowSeconds) {
         this.world = world;
         this.name = name;
         this.address = address;
         this.destination = destination;
-        this.coldStartShare = coldFrom;
-        this.warmUpSeconds = cold;
-        this.overloadFactor = overload;
-        this.overloadWindowSeconds = tipAfter;
+        this.coldStartShare = coldStartShare;
+        this.warmUpSeconds = warmUpSeconds;
+        this.overloadFactor = overloadFactor;
+        this.overloadWindowSeconds = overloadWindowSeconds;
         party = new Network.Party(name);
         party.zone = zone;
         world.network.listen(address, this);
     }
 
-    /** The number in its name. */
+    /** The number that is part of its name. */
     int number() {
         return Integer.parseInt(name.substring(1));
     }
@@ -72,13 +78,13 @@
         return party;
     }
 
-    /** The machine is gone without a word. */
+    /** Makes the machine vanish: its connections are neither closed nor reset. */
     void vanish() {
         world.network.vanish(party);
         resetState();
     }
 
-    /** The machine goes or comes back; then it is cold. */
+    /** Takes the machine down, or brings it back, after which it is in slow start. */
     void setUp(boolean up) {
         if (!up) {
             world.network.die(party, false);
@@ -102,15 +108,15 @@
         unansweredLinks.clear();
     }
 
-    /** How fast it is by now, against when it is warm. */
+    /** The current speed as a share of the full speed: rises linearly in the slow start. */
     private double speedFactor() {
-        double warm = Math.min(1, (world.now() - backAt) / (warmUpSeconds * NS_PER_SECOND));
-        return coldStartShare + (1 - coldStartShare) * warm;
+        double warmUpProgress = Math.min(1, (world.now() - backAt) / (warmUpSeconds * NS_PER_SECOND));
+        return coldStartShare + (1 - coldStartShare) * warmUpProgress;
     }
 
     /**
-     * Whether more has come of late than a cold receiver bears, two thirds of it from nodes that had found it gone; it is then
-     * pushed over once.
+     * Counts a call, and records once per return that the receiver was pushed over: it got more recent calls than a receiver in slow start can bear,
+     * and at least two thirds of them came from nodes that had noticed that it was down.
      */
     private void checkOverload(Network.Party from) {
         recentCalls.addLast(new ReceivedCall(world.now(), foundGoneBy.contains(from)));
@@ -118,17 +124,20 @@
         while (recentCalls.peekFirst().at < since) {
             recentCalls.pollFirst();
         }
-        boolean returning = world.now() - backAt < warmUpSeconds * NS_PER_SECOND && world.now() - backAt > overloadWindowSeconds * NS_PER_SECOND;
+        boolean inSlowStart = world.now() - backAt < warmUpSeconds * NS_PER_SECOND && world.now() - backAt > overloadWindowSeconds * NS_PER_SECOND;
         double budget = overloadFactor * speedFactor() * SLOTS / MEAN_SERVICE_NS * NS_PER_SECOND * overloadWindowSeconds;
-        // What all nodes send is drawn by chance at each: a part of it beyond the budget is no fault of theirs.
-        if (returning && !pushedOver && recentCalls.size() > toleratedCalls(budget)
+        // Each node decides at random what it sends, so that a certain excess of the total over the budget is no fault of the nodes.
+        if (inSlowStart && !pushedOver && recentCalls.size() > toleratedCalls(budget)
                 && 3 * recentCalls.stream().filter(ReceivedCall::fromNodeThatFoundItGone).count() >= 2 * recentCalls.size()) {
             pushedOver = true;
             world.record(new Fact.PushedOver(world.now(), name));
         }
     }
 
-    /** Calls that a cold receiver bears in the time of its budget, at any number of nodes: N + 2 root N + 2, under 30 N + 3 root N + 3. */
+    /**
+     * The number of calls that a receiver in slow start tolerates for a budget of N calls, whatever the number of nodes:
+     * N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 for N below 30.
+     */
     static double toleratedCalls(double budget) {
         int factor = budget < SMALL_BUDGET_CALLS ? 3 : 2;
         return budget + factor * Math.sqrt(budget) + factor;
@@ -136,7 +145,7 @@
 
     @Override public Network.End accepted(Network.Link link, InetSocketAddress from) {
         return new HttpConnection(link) {
-            private String carried = "";
+            private String currentId = "";
             private String answeredWith200 = "";
 
             @Override void requestBegins(String head) {
@@ -146,20 +155,20 @@
 
             @Override void requestReceived(Request request) {
                 answeredWith200 = "";
-                carried = request.headers().getOrDefault("x-call-id", "");
+                currentId = request.headers().getOrDefault("x-call-id", "");
                 Network.Party from = link.initiator;
-                List<Network.Link> unanswered = unansweredLinks.computeIfAbsent(carried, id -> new ArrayList<>());
+                List<Network.Link> unanswered = unansweredLinks.computeIfAbsent(currentId, id -> new ArrayList<>());
                 unanswered.removeIf(Network.Link::closedByInitiator);
-                // One that the network held up until the node had given it up is no second copy of the node's.
+                // A call that the network delayed until the node had abandoned it is not a second copy by the node.
                 boolean second = !unanswered.isEmpty() && !link.closedByInitiator();
                 unanswered.add(link);
-                world.record(new Fact.Called(world.now(), carried, from.name, name, destination, second));
+                world.record(new Fact.Called(world.now(), currentId, from.name, name, destination, second));
                 checkOverload(from);
                 serve(request);
             }
 
             private void serve(Request request) {
-                String id = carried;
+                String id = currentId;
                 if (failing == Scenario.Kind.SILENT) {
                     if (world.withProbability(0.5)) {
                         ran(request, id);
@@ -179,22 +188,22 @@
 
             private void work(Request request, String id) {
                 busySlots++;
-                boolean errs = failing == Scenario.Kind.ERRING && world.withProbability(0.7);
-                long takes = (long) ((failing == Scenario.Kind.SLOW ? 20 : 1) * MEAN_SERVICE_NS / speedFactor()
+                boolean fails = failing == Scenario.Kind.ERRING && world.withProbability(0.7);
+                long serviceTime = (long) ((failing == Scenario.Kind.SLOW ? 20 : 1) * MEAN_SERVICE_NS / speedFactor()
                         * (0.5 + world.nextIntBelow(1000) / 1000.0));
                 ran(request, id);
-                int life = generation;
-                world.scheduleIn(takes, () -> {
-                    if (life != generation) {
+                int currentGeneration = generation;
+                world.scheduleIn(serviceTime, () -> {
+                    if (currentGeneration != generation) {
                         return;
                     }
                     busySlots--;
                     if (!closed) {
-                        if (!errs) {
+                        if (!fails) {
                             world.record(new Fact.Delivered(world.now(), id, name));
                             answeredWith200 = id;
                         }
-                        respond(id, errs ? "500 Internal Server Error" : "200 OK");
+                        respond(id, fails ? "500 Internal Server Error" : "200 OK");
                     }
                     if (!queue.isEmpty()) {
                         queue.pollFirst().run();
@@ -209,7 +218,7 @@
 
             private void respond(String id, String status, String... headers) {
                 forget(id);
-                carried = "";
+                currentId = "";
                 respondWithoutBody(status, headers);
             }
 
@@ -218,7 +227,7 @@
                 if (!answeredWith200.isEmpty()) {
                     world.record(new Fact.Closed(world.now(), answeredWith200, name));
                 }
-                forget(carried);
+                forget(currentId);
             }
 
             private void forget(String id) {
--- a/lab/src/main/java/wrenreach/lab/Relays.java
+++ b/lab/src/main/java/wrenreach/lab/Relays.java
@@ -19,14 +19,25 @@
 import wrenreach.relay.LinkDirection;
 
 /**
- * The relays between the parties of one fleet of processes: from clients to each node, from each node to its platform and to
- * each receiver, and for datagrams between each two nodes. Each lies at an address of its own and comes from one of its own,
- * so that who asks is known. All of it is used on one loop. Bounded by the fleet: nodes times nodes, receivers and three more.
+ * The relays between the parties of one fleet of processes: from clients to each node, from each node to its platform and to each receiver, and for
+ * datagrams between each two nodes. Each listens at an address of its own and connects from one that belongs to its client side, so that the
+ * accepting party knows who opened a connection. All of it is used on one event loop. The number of relays is bounded by the fleet: nodes times
+ * nodes, receivers and three more.
  */
 final class Relays implements ScenarioRun.AddressPlan {
     private static final Impairment CUT = new Impairment(Impairment.Kind.CUT, 0, 0);
-    /** Nets of a run: as seen by clients, platforms, receivers behind node 0 and so on, datagrams from node 0 and so on. */
-    private static final int CLIENT_NET = 10, PLATFORM_NET = 11, FIRST_RECEIVER_NET = 20, FIRST_PEER_NET = 60, FIRST_SOURCE_NET = 100, MAX_PARTIES = 200;
+    /** Net (third byte of the address) at which clients reach the nodes. */
+    private static final int CLIENT_NET = 10;
+    /** Net at which nodes reach their platforms. */
+    private static final int PLATFORM_NET = 11;
+    /** Net at which node 0 reaches the receivers; those of the other nodes follow. */
+    private static final int FIRST_RECEIVER_NET = 20;
+    /** Net to which node 0 sends datagrams for other nodes; those of the other nodes follow. */
+    private static final int FIRST_PEER_NET = 60;
+    /** Net from which the relays connect on behalf of node 0; those of the other nodes follow. */
+    private static final int FIRST_SOURCE_NET = 100;
+    /** Limit of the parties of a kind. */
+    private static final int MAX_PARTIES = 200;
 
     private record PlacedRelay(String from, String to, TcpRelay relay) {
         boolean between(String a, String b) {
@@ -39,7 +50,7 @@
     }
 
     private final EventLoop loop;
-    /** The second part of every address of the run. */
+    /** The second byte of every address of the run. */
     private final int slot;
     private final int nodes;
     private final DoubleSupplier chance;
@@ -52,7 +63,7 @@
     private final Set<String> isolated = new HashSet<>();
     private String failed = "";
 
-    /** log: takes a line on each thing that happens to a link. */
+    /** log receives a line for each event of a link. */
     Relays(EventLoop loop, int slot, int nodes, DoubleSupplier chance, Consumer<String> log) {
         this.loop = loop;
         this.slot = slot;
@@ -80,12 +91,12 @@
         return address(FIRST_RECEIVER_NET + node, receiver.number(), ScenarioRun.RECEIVER_PORT);
     }
 
-    /** Where clients find a node. */
+    /** The address at which clients reach a node. */
     InetSocketAddress clientAddress(int node) {
         return address(CLIENT_NET, node, ScenarioRun.LISTENER_PORT);
     }
 
-    /** Where a node finds another one's datagrams. */
+    /** The address to which a node sends its datagrams for another node. */
     InetSocketAddress peerAddress(int node, int other, int port) {
         return address(FIRST_PEER_NET + node, other, port);
     }
@@ -96,7 +107,7 @@
         }
     }
 
-    /** Begins all links of a node but those to receivers. */
+    /** Starts all relays of a node but those to receivers. */
     void addNode(int node) {
         String name = "n" + node;
         Network.Party party = new Network.Party(name);
@@ -109,7 +120,7 @@
         }
     }
 
-    /** Begins the links for datagrams between all nodes, each of which takes them at this port of its own address. */
+    /** Starts the datagram relays between all nodes, each of which receives at this port of its own address. */
     void peers(int port) {
         for (int a = 0; a < nodes; a++) {
             for (int b = a + 1; b < nodes; b++) {
@@ -135,12 +146,12 @@
         relay.start();
     }
 
-    /** What the machine refused; empty: nothing. */
+    /** Why the machine refused to set up a relay or a listening socket; empty if it did not. */
     String failed() {
         return failed;
     }
 
-    /** Something that the fleet stands on can't be had: the run is void. */
+    /** Reports that something the fleet needs can't be set up, which makes the run void. */
     void failed(String why) {
         failed = why;
         log.accept(why);
@@ -150,7 +161,7 @@
         return partiesBySource.computeIfAbsent(from, address -> new Network.Party("?"));
     }
 
-    /** All nodes, as receivers know them. */
+    /** All nodes, as the parties that receivers see. */
     Collection<Network.Party> allNodes() {
         return parties.values();
     }
@@ -160,72 +171,72 @@
     }
 
     void impairmentsChanged(String a, String b) {
-        relays.stream().filter(one -> one.between(a, b)).forEach(one -> one.relay.changed());
+        relays.stream().filter(placed -> placed.between(a, b)).forEach(placed -> placed.relay.changed());
         log.accept(a + "-" + b + " changes: " + describe(a, b) + ", " + describe(b, a));
     }
 
     private String describe(String a, String b) {
-        LinkDirection way = direction(a, b);
-        return a + ">" + b + (way.isHealthy() ? " sound" : way.isCut() ? " cut" : way.refuses() ? " refuses" : " troubled");
+        LinkDirection direction = direction(a, b);
+        return a + ">" + b + (direction.isHealthy() ? " sound" : direction.isCut() ? " cut" : direction.refuses() ? " refuses" : " troubled");
     }
 
     void reset(String a, String b) {
-        relays.stream().filter(one -> one.between(a, b)).forEach(one -> {
-            log.accept(a + "-" + b + ": " + one.relay.open() + " connections reset");
-            one.relay.reset();
+        relays.stream().filter(placed -> placed.between(a, b)).forEach(placed -> {
+            log.accept(a + "-" + b + ": " + placed.relay.open() + " connections reset");
+            placed.relay.reset();
         });
     }
 
     void setDead(String a, String b, boolean dead) {
         log.accept(a + "-" + b + ": relay " + (dead ? "dies" : "starts"));
-        relays.stream().filter(one -> one.between(a, b)).forEach(one -> {
+        relays.stream().filter(placed -> placed.between(a, b)).forEach(placed -> {
             if (dead) {
-                one.relay.stop();
+                placed.relay.stop();
             } else {
-                one.relay.start();
+                placed.relay.start();
             }
         });
     }
 
-    /** Whether somebody listens at the party. */
+    /** Sets whether the party is listening. */
     void setListening(String party, boolean on) {
-        relays.stream().filter(one -> one.to.equals(party)).forEach(one -> one.relay.targetUp(on));
+        relays.stream().filter(placed -> placed.to.equals(party)).forEach(placed -> placed.relay.targetUp(on));
     }
 
-    /** Nothing passes to or from the party; when it is back, it knows none of its connections. */
+    /** Cuts all links of the party, or restores them with all their connections reset, as a machine that is back knows none of them. */
     void isolate(String party, boolean on) {
         if (!(on ? isolated.add(party) : isolated.remove(party))) {
             return;
         }
-        relays.stream().filter(one -> one.of(party)).forEach(one -> {
-            for (LinkDirection way : List.of(direction(one.from, one.to), direction(one.to, one.from))) {
+        relays.stream().filter(placed -> placed.of(party)).forEach(placed -> {
+            for (LinkDirection direction : List.of(direction(placed.from, placed.to), direction(placed.to, placed.from))) {
                 if (on) {
-                    way.begin(CUT);
+                    direction.begin(CUT);
                 } else {
-                    way.end(CUT);
+                    direction.end(CUT);
                 }
             }
         });
-        // Several relays may share a link: each looks at its ways once all have changed.
-        relays.stream().filter(one -> one.of(party)).forEach(one -> {
+        // Several relays may share a link, so they are told only after all directions have changed.
+        relays.stream().filter(placed -> placed.of(party)).forEach(placed -> {
             if (!on) {
-                one.relay.reset();
+                placed.relay.reset();
             }
-            one.relay.changed();
+            placed.relay.changed();
         });
     }
 
-    /** All of it is gone, walls too, which no loop closes by itself. */
+    /** Stops all relays, including the plain sockets that cut links listen with, which no event loop closes by itself. */
     void close() {
-        relays.forEach(one -> one.relay.stop());
+        relays.forEach(placed -> placed.relay.stop());
         peers.values().forEach(UdpRelay::stop);
     }
 
-    /** What each link carried, a line each. */
+    /** What each link carried, one line per link. */
     List<String> trafficSummary() {
-        List<String> all = new ArrayList<>();
-        relays.forEach(one -> all.add(one.from + ">" + one.to + ": " + one.relay.opened() + " connections"));
-        peers.forEach((name, relay) -> all.add(name + ": " + relay.passed() + " passed, " + relay.lost() + " lost"));
-        return all;
+        List<String> summary = new ArrayList<>();
+        relays.forEach(placed -> summary.add(placed.from + ">" + placed.to + ": " + placed.relay.opened() + " connections"));
+        peers.forEach((name, relay) -> summary.add(name + ": " + relay.passed() + " passed, " + relay.lost() + " lost"));
+        return summary;
     }
 }
--- a/lab/src/main/java/wrenreach/lab/ScenarioRun.java
+++ b/lab/src/main/java/wrenreach/lab/ScenarioRun.java
@@ -20,16 +20,33 @@
 import wrenreach.node.Config;
 import wrenreach.relay.Impairment;
 
-/** Plays one scenario: builds its world, lets its faults happen and hands back what happened. */
+/** Runs one scenario: builds its simulation, injects its faults and records what happens. All of it runs on the world's thread. */
 final class ScenarioRun {
     static final long NS_PER_MS = 1_000_000;
-    /** Figures of the settings that all scenarios share, in seconds. */
-    static final double DEDUPLICATION_WINDOW_S = 5, DRAIN_GRACE_S = 0.5, COLD_START_SHARE = 0.3, WARM_UP_S = 12, OVERLOAD_FACTOR = 1.5, OVERLOAD_WINDOW_S = 2, LATE_SHARE = 0.5;
+    /** For how long receivers recognize a repeat by its tag ("Window" of the settings), in seconds. All scenarios share this and the settings below. */
+    static final double DEDUPLICATION_WINDOW_S = 5;
+    /** "DrainGrace" of the settings, in seconds. */
+    static final double DRAIN_GRACE_S = 0.5;
+    /** Speed of a receiver right after its return, as a share of its full speed. */
+    static final double COLD_START_SHARE = 0.3;
+    /** Time that a receiver takes from its return to its full speed, in seconds. */
+    static final double WARM_UP_S = 12;
+    /** Load at which a returning receiver is overloaded, as a multiple of its capacity at the time. */
+    static final double OVERLOAD_FACTOR = 1.5;
+    /** Time over which the load of a returning receiver is counted, in seconds. */
+    static final double OVERLOAD_WINDOW_S = 2;
+    /** "LateShare" of the settings of each class. */
+    static final double LATE_SHARE = 0.5;
     private static final String[] EFFECTS = {"pure", "token", "side_effect"};
-    /** After the last mail's time the restart of its node may still pass. */
+    /** Extra time at the end of a run, in nanoseconds: after the lifetime of the last mail its node may still have to restart. */
     private static final long SETTLE_TIME_NS = 6_000 * NS_PER_MS;
-    static final int PLATFORM_PORT = 8500, RECEIVER_PORT = 8080, LISTENER_PORT = 6379;
-    /** Between two looks whether what a fault waits for has come. */
+    /** Port of the platform and of discovery; the next port serves the same. */
+    static final int PLATFORM_PORT = 8500;
+    /** Port of every receiver. */
+    static final int RECEIVER_PORT = 8080;
+    /** Port at which a node accepts clients. */
+    static final int LISTENER_PORT = 6379;
+    /** Interval between two checks whether the condition that a fault waits for has come true, in nanoseconds. */
     private static final long TRIGGER_POLL_INTERVAL_NS = 5 * NS_PER_MS;
 
     final Scenario scenario;
@@ -39,46 +56,47 @@
     private final List<Platform> platforms = new ArrayList<>();
     private int listVersion = 1;
     private int replacements;
-    /** The list as text as each node reads it, and of which version. */
+    /** The endpoint list as JSON text, by the node that reads it; all of them are of the version {@link #cachedListVersion}. */
     private final Map<Integer, String> listTexts = new HashMap<>();
     private int cachedListVersion;
     private final AddressPlan addresses;
-    /** Of which kind of thing, and of whom, how much has been seen. */
+    /** How many facts of a kind have been observed of a party, or of all nodes or all receivers; the key is the kind and the party. */
     private final Map<String, Integer> observedCounts = new HashMap<>();
     private int observedFacts;
 
-    /** Where the parties are: in memory each by its own address, by processes behind relays. */
+    /** The addresses of the parties: their own in an emulated run, those of relays in a run with processes. */
     interface AddressPlan {
-        /** An address of the net of parties of one kind. */
+        /** The address of a party in the net of its kind. */
         InetSocketAddress addressOf(int net, int number, int port);
 
-        /** Where a node finds its platform, and one of its receivers. */
+        /** The address at which a node reaches its platform. */
         default InetSocketAddress platformAddress(int node) {
             return addressOf(9, node, PLATFORM_PORT);
         }
 
+        /** The address at which a node reaches a receiver. */
         default InetSocketAddress receiverAddress(int node, Receiver receiver) {
             return receiver.address;
         }
 
-        /** There is one more receiver. */
+        /** Called when a receiver has been added. */
         default void receiverAdded(Receiver receiver) { }
     }
 
-    /** In memory: thousands of each, at addresses that mean nothing outside. */
+    /** Addresses of an emulated run, for thousands of parties of each kind; they have no meaning outside the simulation. */
     static final AddressPlan EMULATED = (net, number, port) ->
             new InetSocketAddress("127." + net + "." + number / 200 + "." + (number % 200 + 1), port);
 
-    /** Makes a node of the fleet. */
+    /** Creates a node of the fleet. */
     interface NodeFactory {
         FleetNode create(String name, Config config, String json, int zone);
     }
 
-    /** Builds what a scenario needs in its world and starts its nodes; nothing comes before {@link #begin}. */
-    ScenarioRun(Scenario scenario, World world, AddressPlan places, NodeFactory maker) {
+    /** Builds the parties of a scenario and starts its nodes; mails and faults come only after {@link #begin}. */
+    ScenarioRun(Scenario scenario, World world, AddressPlan addresses, NodeFactory nodeFactory) {
         this.scenario = scenario;
         this.world = world;
-        this.addresses = places;
+        this.addresses = addresses;
         for (int i = 0; i < scenario.destinations() * scenario.endpoints(); i++) {
             addReceiver(i, i % scenario.destinations());
         }
@@ -86,34 +104,34 @@
         for (int i = 0; i < scenario.nodes(); i++) {
             int node = i;
             config = config(i);
-            world.nodes.add(maker.create("n" + i, config, json(i), i % scenario.zones()));
-            platforms.add(new Platform(world, "n" + i, places.addressOf(9, i, PLATFORM_PORT), () -> listText(node)));
+            world.nodes.add(nodeFactory.create("n" + i, config, json(i), i % scenario.zones()));
+            platforms.add(new Platform(world, "n" + i, addresses.addressOf(9, i, PLATFORM_PORT), () -> listText(node)));
         }
         settings = config.settings();
         world.nodes.forEach(FleetNode::start);
     }
 
-    /** Plays a scenario with this module in its nodes, to its end. */
-    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> module) {
-        return of(scenario, module, world -> { });
+    /** Runs a scenario to its end, with dispatchers made by this factory in its nodes. */
+    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> dispatcherFactory) {
+        return of(scenario, dispatcherFactory, world -> { });
     }
 
-    /** The same, with something done to its world before it begins. */
-    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> module, Consumer<World> before) {
-        return of(scenario, module, Experiment.Setup.NONE, before);
+    /** The same, with an action on the world before the traffic begins. */
+    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> dispatcherFactory, Consumer<World> before) {
+        return of(scenario, dispatcherFactory, Experiment.Setup.NONE, before);
     }
 
-    /** The same with what the operator's files switch on. */
-    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> module, Experiment.Setup setup, Consumer<World> before) {
+    /** The same, with the subsystems that the operator's files switch on. */
+    static ScenarioRun of(Scenario scenario, Function<Settings, Dispatcher> dispatcherFactory, Experiment.Setup setup, Consumer<World> before) {
         World world = new World(scenario.seed());
-        ScenarioRun play = new ScenarioRun(scenario, world, EMULATED, (name, config, json, zone) ->
-                new InMemoryNode(world, name, config, json, zone, scenario.usesStore(), module, setup.inMemoryOperatorFile(name)));
+        ScenarioRun run = new ScenarioRun(scenario, world, EMULATED, (name, config, json, zone) ->
+                new InMemoryNode(world, name, config, json, zone, scenario.usesStore(), dispatcherFactory, setup.inMemoryOperatorFile(name)));
         before.accept(world);
-        world.runUntil(play.begin());
-        return play;
+        world.runUntil(run.begin());
+        return run;
     }
 
-    /** Lets mails come and faults happen from now on; the instant at which all is over. */
+    /** Starts the traffic and the faults; returns the time at which the run is over. */
     long begin() {
         long begin = world.now();
         long length = scenario.lengthMs() * NS_PER_MS;
@@ -134,7 +152,7 @@
         return begin + length + lifetime * NS_PER_MS + SETTLE_TIME_NS;
     }
 
-    /** Begins those faults that wait for something which has been seen by now; at the day's end they wait no longer. */
+    /** Starts the waiting faults whose condition has come true; those that still wait at the end of the traffic are recorded and dropped. */
     private void startTriggeredFaults(List<Scenario.Fault> waiting, long until) {
         for (; observedFacts < world.facts.size(); observedFacts++) {
             Fact fact = world.facts.get(observedFacts);
@@ -152,10 +170,10 @@
                 countObserved(Scenario.Once.Seen.SERVES, serves.node());
             }
         }
-        List<Scenario.Fault> come = waiting.stream().filter(fault -> observedCounts.getOrDefault(fault.once().seen() + " "
+        List<Scenario.Fault> triggered = waiting.stream().filter(fault -> observedCounts.getOrDefault(fault.once().seen() + " "
                 + fault.once().party(), 0) >= fault.once().count()).toList();
-        waiting.removeAll(come);
-        come.forEach(this::begin);
+        waiting.removeAll(triggered);
+        triggered.forEach(this::begin);
         if (world.now() >= until) {
             waiting.forEach(fault -> world.record(new Fact.NeverCame(world.now(), fault.text())));
         } else if (!waiting.isEmpty()) {
@@ -176,7 +194,7 @@
         addresses.receiverAdded(receiver);
     }
 
-    /** In memory all nodes read the same text. */
+    /** The endpoint list for a node. In an emulated run all nodes share one text, as the addresses are the same for each. */
     private String listText(int node) {
         if (cachedListVersion != listVersion) {
             cachedListVersion = listVersion;
@@ -201,7 +219,7 @@
     }
 
     private String json(int number) {
-        InetSocketAddress agent = addresses.platformAddress(number);
+        InetSocketAddress platform = addresses.platformAddress(number);
         return String.format(Locale.ROOT, """
                 {"name":"n%d","listen":"%s:6379","discovery":"%s:%d","seed":"%x",
                  "limits":{"cores":1,"memory_mb":192,"sockets":512,"disk_mb":2},"known":%s,
@@ -215,7 +233,7 @@
                  "RetryAfter":true,"MaxRetryAfter":3,"ConnIdle":6,"ConnectTimeout":1},
                  "Rules":{"AnswerSlack":0.02,"DrainGrace":%.1f,"ColdFrom":%.2f,"Cold":%.1f,"OverloadFactor":%.1f,
                  "TipAfter":%.1f,"OrderSettle":0.1}}}
-                """, number, addresses.addressOf(7, number, LISTENER_PORT).getHostString(), agent.getHostString(), agent.getPort(),
+                """, number, addresses.addressOf(7, number, LISTENER_PORT).getHostString(), platform.getHostString(), platform.getPort(),
                 scenario.seed() * 64 + number & Long.MAX_VALUE, listText(number), number,
                 scenario.nodes(), number % scenario.zones(), IntStream.range(0, scenario.zones()).mapToObj(z -> "\"z" + z + "\"")
                 .collect(Collectors.joining(",")), classes(), DRAIN_GRACE_S, COLD_START_SHARE, WARM_UP_S,
@@ -358,39 +376,39 @@
     }
 
     private void beginOnLinks(Scenario.Fault fault, long length) {
-        List<FaultText.DirectedLink> ways = FaultText.directedLinks(fault, world.nodes.size(), receivers.size());
+        List<FaultText.DirectedLink> directions = FaultText.directedLinks(fault, world.nodes.size(), receivers.size());
         switch (fault.kind()) {
-            case RESET -> distinctPairs(ways).forEach(link -> {
+            case RESET -> distinctPairs(directions).forEach(link -> {
                 if (fault.figure() >= 1 || world.withProbability(fault.figure())) {
                     world.network.reset(link.from(), link.to());
                 }
             });
-            case RELAY_DIES -> distinctPairs(ways).forEach(link -> {
+            case RELAY_DIES -> distinctPairs(directions).forEach(link -> {
                 world.network.setRelayDead(link.from(), link.to(), true);
                 world.scheduleIn(length, () -> world.network.setRelayDead(link.from(), link.to(), false));
             });
-            case PARTITION, MUTE, DEAF, RING -> impair(ways, new Impairment(Impairment.Kind.CUT, 0, 0), length);
-            default -> impair(ways, new Impairment(Impairment.Kind.valueOf(fault.kind().name()), fault.figure(), fault.more()), length);
+            case PARTITION, MUTE, DEAF, RING -> impair(directions, new Impairment(Impairment.Kind.CUT, 0, 0), length);
+            default -> impair(directions, new Impairment(Impairment.Kind.valueOf(fault.kind().name()), fault.figure(), fault.more()), length);
         }
     }
 
-    /** Each pair of parties once. */
-    private static List<FaultText.DirectedLink> distinctPairs(List<FaultText.DirectedLink> ways) {
-        Set<FaultText.DirectedLink> once = new LinkedHashSet<>();
-        ways.stream().filter(way -> !once.contains(new FaultText.DirectedLink(way.to(), way.from()))).forEach(once::add);
-        return List.copyOf(once);
+    /** Reduces directions to pairs of parties: each pair once, whichever way. */
+    private static List<FaultText.DirectedLink> distinctPairs(List<FaultText.DirectedLink> directions) {
+        Set<FaultText.DirectedLink> pairs = new LinkedHashSet<>();
+        directions.stream().filter(direction -> !pairs.contains(new FaultText.DirectedLink(direction.to(), direction.from()))).forEach(pairs::add);
+        return List.copyOf(pairs);
     }
 
-    private void impair(List<FaultText.DirectedLink> ways, Impairment trouble, long length) {
-        ways.forEach(way -> world.network.direction(way.from(), way.to()).begin(trouble));
-        distinctPairs(ways).forEach(link -> world.network.impairmentsChanged(link.from(), link.to()));
+    private void impair(List<FaultText.DirectedLink> directions, Impairment impairment, long length) {
+        directions.forEach(direction -> world.network.direction(direction.from(), direction.to()).begin(impairment));
+        distinctPairs(directions).forEach(link -> world.network.impairmentsChanged(link.from(), link.to()));
         world.scheduleIn(length, () -> {
-            ways.forEach(way -> world.network.direction(way.from(), way.to()).end(trouble));
-            distinctPairs(ways).forEach(link -> world.network.impairmentsChanged(link.from(), link.to()));
+            directions.forEach(direction -> world.network.direction(direction.from(), direction.to()).end(impairment));
+            distinctPairs(directions).forEach(link -> world.network.impairmentsChanged(link.from(), link.to()));
         });
     }
 
-    /** Those faults that are of memory only are never played by processes. */
+    /** The node as an emulated one; the faults that need it are never played by processes. */
     private static InMemoryNode inMemory(FleetNode node) {
         return (InMemoryNode) node;
     }
@@ -401,7 +419,7 @@
         }
     }
 
-    /** A receiver is drained and another one takes its place; the old one leaves the list later. */
+    /** Drains a receiver and adds another one in its place; the old one stays in the list, as draining. */
     private void drain(Receiver old) {
         if (old.draining) {
             return;
@@ -415,7 +433,7 @@
         platforms.forEach(Platform::listChanged);
     }
 
-    /** The day as lines, with how it came out. */
+    /** All facts as lines of text. */
     List<String> timeline() {
         return world.facts.stream().map(Fact::timelineLine).toList();
     }
--- a/lab/src/main/java/wrenreach/lab/SocketNetwork.java
+++ b/lab/src/main/java/wrenreach/lab/SocketNetwork.java
@@ -20,10 +20,11 @@
 import wrenreach.relay.LinkDirection;
 
 /**
- * Connections of the stand-ins over the machine's loopback. Between them and the nodes lie relays, which tell who asks and
- * carry what is wrong with a link.
+ * Connections of the stand-ins over the machine's loopback. Relays lie between them and the nodes: by their addresses it is known who opened a
+ * connection, and they apply the impairments of a link.
  */
 final class SocketNetwork extends Network {
+    /** Timeout of a TCP connect, in milliseconds. */
     private static final int CONNECT_TIMEOUT_MS = 1000;
 
     private static final class ListeningSocket {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Hands on what comes to the end that the link has by then. */
+    /** Passes inbound events to the end that the link has at the time. */
     private static final class InboundHandler extends ChannelInboundHandlerAdapter {
         private final SocketLink link;
 
@@ -94,31 +95,31 @@
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // The other process is gone: channelInactive follows.
+            // The other process is gone; channelInactive follows the close.
             context.close();
         }
     }
 
     @Override void listen(InetSocketAddress at, Listener listener) {
-        ListeningSocket door = new ListeningSocket(listener);
-        listeningSockets.put(at, door);
-        open(at, door);
+        ListeningSocket socket = new ListeningSocket(listener);
+        listeningSockets.put(at, socket);
+        open(at, socket);
     }
 
-    private void open(InetSocketAddress at, ListeningSocket door) {
+    private void open(InetSocketAddress at, ListeningSocket socket) {
         ServerBootstrap server = new ServerBootstrap().group(loop).channelFactory(TcpRelay::listener)
                 .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
                         InetSocketAddress from = (InetSocketAddress) channel.remoteAddress();
-                        SocketLink link = new SocketLink(relays.partyAt(from.getAddress()), door.listener.party(), channel);
+                        SocketLink link = new SocketLink(relays.partyAt(from.getAddress()), socket.listener.party(), channel);
                         link.acceptor.links.add(link);
-                        link.end = door.listener.accepted(link, from);
+                        link.end = socket.listener.accepted(link, from);
                         channel.pipeline().addLast(new InboundHandler(link));
                     }
                 });
         ChannelFuture bound = server.bind(at);
-        door.channel = bound.channel();
+        socket.channel = bound.channel();
         bound.addListener(done -> {
             if (!done.isSuccess()) {
                 relays.failed("can't listen on " + at + ": " + done.cause().getMessage());
@@ -127,13 +128,13 @@
     }
 
     @Override void unlisten(InetSocketAddress at, Listener listener) {
-        ListeningSocket door = listeningSockets.remove(at);
-        if (door != null) {
-            door.channel.close();
+        ListeningSocket socket = listeningSockets.remove(at);
+        if (socket != null) {
+            socket.channel.close();
         }
     }
 
-    @Override void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler asks) {
+    @Override void connect(Party from, InetSocketAddress own, InetSocketAddress to, ConnectHandler handler) {
         SocketLink[] link = new SocketLink[1];
         new Bootstrap().group(loop).channelFactory(TcpRelay::connection).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS).handler(new ChannelInitializer<Channel>() {
@@ -144,9 +145,9 @@
                 }).connect(to).addListener(done -> {
                     if (done.isSuccess()) {
                         from.links.add(link[0]);
-                        link[0].end = asks.opened(link[0]);
+                        link[0].end = handler.opened(link[0]);
                     } else {
-                        asks.refused();
+                        handler.refused();
                     }
                 });
     }
@@ -171,13 +172,13 @@
         party.up = false;
         relays.setListening(party.name, false);
         party.foundGoneBy.addAll(relays.allNodes());
-        listeningSockets.values().stream().filter(door -> door.listener.party() == party).forEach(door -> door.channel.close());
+        listeningSockets.values().stream().filter(socket -> socket.listener.party() == party).forEach(socket -> socket.channel.close());
         List.copyOf(party.links).forEach(link -> ((SocketLink) link).channel.close());
         party.links.clear();
     }
 
     @Override void vanish(Party party) {
-        // The machine is there, but nothing passes to or from it; what it had is forgotten.
+        // The listening socket stays open, but nothing passes to or from the party, and its connections are dropped.
         party.up = false;
         party.vanished = true;
         relays.isolate(party.name, true);
@@ -193,9 +194,9 @@
             relays.isolate(party.name, false);
             return;
         }
-        listeningSockets.forEach((at, door) -> {
-            if (door.listener.party() == party) {
-                open(at, door);
+        listeningSockets.forEach((at, socket) -> {
+            if (socket.listener.party() == party) {
+                open(at, socket);
             }
         });
         relays.setListening(party.name, true);
--- a/lab/src/main/java/wrenreach/lab/World.java
+++ b/lab/src/main/java/wrenreach/lab/World.java
@@ -14,14 +14,14 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Virtual time: one thread plays everything that happens, in the order of its instants; the clock jumps from one to the
- * next. Times in nanoseconds since the world's begin. All chance comes from one generator, so the same seed and build
- * give the same log to the byte.
+ * A discrete-event simulation: one thread runs all events in the order of their times, and the virtual clock jumps from one event to the next.
+ * Times are nanoseconds of the virtual clock, which starts at {@link #START_NS}. All random numbers come from one generator, so the same seed and
+ * build give a log that is identical to the byte.
  */
 class World {
-    /** The wall's clock when a world begins, in milliseconds. */
+    /** The wall clock when a simulation starts, in milliseconds since the epoch. */
     static final long WALL_CLOCK_START_MS = 1_800_000_000_000L;
-    /** The instant at which a world begins. */
+    /** The virtual clock when a simulation starts, in nanoseconds. */
     static final long START_NS = 1_000_000_000L;
 
     private record ScheduledEvent(long at, long order, Runnable work) { }
@@ -53,7 +53,7 @@
         this(seed, EmulatedNetwork::new);
     }
 
-    /** A world on a network of its own. */
+    /** Creates a simulation on another network than the emulated one. */
     World(long seed, Function<World, Network> network) {
         this.network = network.apply(this);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -68,31 +68,31 @@
         return now;
     }
 
-    /** Milliseconds of the wall's clock. */
+    /** The wall clock, in milliseconds since the epoch. */
     long wallMillis() {
         return WALL_CLOCK_START_MS + now() / 1_000_000;
     }
 
-    boolean withProbability(double share) {
-        return random.nextDouble() < share;
+    boolean withProbability(double probability) {
+        return random.nextDouble() < probability;
     }
 
-    /** A number from 0 to below 1. */
+    /** A uniformly distributed number from 0 (inclusive) to 1 (exclusive). */
     double nextUniform() {
         return random.nextDouble();
     }
 
-    /** A number from 0 to below the limit. */
+    /** A uniformly distributed integer from 0 (inclusive) to the limit (exclusive). */
     int nextIntBelow(int limit) {
         return random.nextInt(limit);
     }
 
-    /** A time of an exponential distribution. */
+    /** An exponentially distributed number with this mean, cut to a whole one. */
     long nextExponential(double mean) {
         return (long) (-Math.log(1 - random.nextDouble()) * mean);
     }
 
-    /** Has work done at that instant, or at the present one if it has passed. */
+    /** Runs the work at that time, or at the current time if it has passed. Events of the same time run in the order in which they were scheduled. */
     void scheduleAt(long when, Runnable work) {
         events.add(new ScheduledEvent(Math.max(when, now), nextSequence++, work));
     }
@@ -101,13 +101,13 @@
         scheduleAt(now() + delay, work);
     }
 
-    /** Puts a fact on record. */
+    /** Appends a fact to the log and to its hash. */
     void record(Fact fact) {
         facts.add(fact);
         hash.update((fact + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Plays until that instant. */
+    /** Runs all events up to and including that time, and leaves the clock there. */
     void runUntil(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
             ScheduledEvent next = events.poll();
@@ -117,7 +117,7 @@
         now = Math.max(now, until);
     }
 
-    /** What stands for all facts so far. */
+    /** The SHA-256 hash of all facts so far, in hexadecimal; runs are compared by it. */
     String factsHash() {
         try {
             return HexFormat.of().formatHex(((MessageDigest) hash.clone()).digest());
