--- a/lab/src/test/java/wrenreach/lab/GroundTest.java
+++ b/lab/src/test/java/wrenreach/lab/GroundTest.java
@@ -29,7 +29,7 @@
 import wrenreach.operator.Section;
 import wrenreach.relay.Impairment;
 
-/** One vocabulary of faults and one set of oracles, for the fleet in memory as for processes. */
+/** Tests the description of faults and the rules, which are shared by emulated fleets and fleets of processes. */
 class GroundTest {
     private static final Logger ROOT_LOGGER = Logger.getLogger("");
     private static final long NS_PER_SECOND = 1_000_000_000;
@@ -106,7 +106,10 @@
         });
     }
 
-    /** A mail that was answered with 200 is told as undelivered; whether that can be held against its node. */
+    /**
+     * A mail that was answered with 200 is reported as undeliverable. This is held against the node unless it died, lost its state, or may not have got
+     * the response; if the stand-ins were late, it is not judged.
+     */
     @ParameterizedTest
     @CsvSource({"nothing, true", "died, false", "closed, false", "troubled, false", "late, false", "lost, false"})
     void untrueEndingIsReportedOnlyIfTheNodeCouldKnow(String also, boolean caught) throws Exception {
@@ -131,11 +134,11 @@
         assertThat(verdict.inconclusive()).hasSize(also.equals("late") ? 1 : 0);
     }
 
-    /** A subsystem of the tests: it counts the mails that its node takes. */
+    /** A subsystem for tests, which counts the mails that its node accepts. */
     public static final class Counts implements Subsystem<Counts.Probe> {
         static int taken;
 
-        /** [probe]. */
+        /** Section [probe] of the operator's file. */
         public record Probe(@Key(about = "what it counts by", byDefault = "1", least = "1") int step) { }
 
         @Override public Section<Probe> section() {
@@ -175,8 +178,8 @@
         Experiment one = experiment("", "file = \"[probe]\\nstep = 1000\"\nnodes = [\"n1\"]");
         assertThat(one.objections(false)).isEmpty();
         Counts.taken = 0;
-        ScenarioRun play = ScenarioRun.of(one.scenarioAt(1, 0), DeliveryDispatcher::new, one.setup(), world -> { });
-        long byN1 = play.world.facts.stream().filter(fact -> fact instanceof Fact.Answered answered && answered.node().equals("n1")
+        ScenarioRun run = ScenarioRun.of(one.scenarioAt(1, 0), DeliveryDispatcher::new, one.setup(), world -> { });
+        long byN1 = run.world.facts.stream().filter(fact -> fact instanceof Fact.Answered answered && answered.node().equals("n1")
                 && answered.answer().equals("OK")).count();
         assertThat(byN1).isPositive();
         assertThat(Counts.taken).isEqualTo(1000 * (int) byN1);
--- a/lab/src/test/java/wrenreach/lab/LabTest.java
+++ b/lab/src/test/java/wrenreach/lab/LabTest.java
@@ -40,7 +40,7 @@
         ROOT_LOGGER.setLevel(Level.OFF);
     }
 
-    /** A module with one thing wrong: each rule's oracle has to notice two of them. */
+    /** Dispatchers with one fault each, and the rule that has to catch it. */
     enum DispatcherFault implements Function<Settings, Dispatcher> {
         FORGETS_A_BOUNCE(Rules.Rule.LOST), ENDS_LATE(Rules.Rule.LOST), FORGETS_THAT_IT_RAN(Rules.Rule.TWICE),
         CALLS_IT_HARMLESS(Rules.Rule.TWICE), KEEPS_THE_DRAINED(Rules.Rule.DRAIN), DEAF_TO_LISTS(Rules.Rule.DRAIN),
@@ -54,83 +54,83 @@
         }
 
         @Override public Dispatcher apply(Settings settings) {
-            DeliveryDispatcher sound = new DeliveryDispatcher(settings);
+            DeliveryDispatcher correct = new DeliveryDispatcher(settings);
             return new Dispatcher() {
                 private final List<Action> late = new ArrayList<>();
                 private int count;
 
-                private List<Action> twist(List<Action> answers) {
-                    List<Action> twisted = new ArrayList<>(answers);
+                private List<Action> applyFault(List<Action> actions) {
+                    List<Action> changed = new ArrayList<>(actions);
                     if (DispatcherFault.this == FORGETS_A_BOUNCE) {
-                        twisted.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
+                        changed.removeIf(a -> (a instanceof Action.Bounce || a instanceof Action.Defer) && count++ % 3 == 0);
                     } else if (DispatcherFault.this == ENDS_LATE) {
-                        late.addAll(twisted.stream().filter(a -> a instanceof Action.Bounce || a instanceof Action.Defer).toList());
-                        twisted.removeAll(late);
+                        late.addAll(changed.stream().filter(a -> a instanceof Action.Bounce || a instanceof Action.Defer).toList());
+                        changed.removeAll(late);
                     } else if (DispatcherFault.this == CALLS_IT_HARMLESS) {
-                        twisted.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
+                        changed.replaceAll(a -> a instanceof Action.Bounce bounce ? new Action.Defer(bounce.mail(), 0) : a);
                     }
-                    return twisted;
+                    return changed;
                 }
 
                 @Override public List<Action> admit(Mail mail, long now) {
-                    List<Action> answers = twist(sound.admit(mail, now));
+                    List<Action> actions = applyFault(correct.admit(mail, now));
                     if (DispatcherFault.this == GIVES_UP_WHAT_IT_FINDS && mail.recovered && !mail.finished) {
-                        answers.addAll(sound.withdrawn(mail, now));
-                        answers.add(new Action.Defer(mail, 0));
+                        actions.addAll(correct.withdrawn(mail, now));
+                        actions.add(new Action.Defer(mail, 0));
                     }
                     if (DispatcherFault.this == LAST_GOES_FIRST || DispatcherFault.this == MIXES_KEYS && count++ % 3 == 0) {
                         mail.orderKey.mails.remove(mail);
                         mail.orderKey.mails.addFirst(mail);
                     }
-                    return answers;
+                    return actions;
                 }
 
-                @Override public List<Action> attemptEnded(DeliveryAttempt connect, Outcome outcome, double[] report, boolean done, long now) {
-                    Outcome told = outcome;
+                @Override public List<Action> attemptEnded(DeliveryAttempt attempt, Outcome outcome, double[] report, boolean done, long now) {
+                    Outcome changedOutcome = outcome;
                     if (outcome instanceof Outcome.Rejected full && DispatcherFault.this == DEAF_TO_WAITS) {
-                        told = new Outcome.Rejected(0);
+                        changedOutcome = new Outcome.Rejected(0);
                     } else if (outcome instanceof Outcome.Rejected full && DispatcherFault.this == HALVES_WAITS) {
-                        told = new Outcome.Rejected(full.retryAfter() / 3);
+                        changedOutcome = new Outcome.Rejected(full.retryAfter() / 3);
                     } else if (DispatcherFault.this == FORGETS_THAT_IT_RAN
                             && (outcome instanceof Outcome.TimedOut || outcome instanceof Outcome.ServerError)) {
-                        told = new Outcome.NotSent(false);
-                        connect.neverRan = true;
+                        changedOutcome = new Outcome.NotSent(false);
+                        attempt.neverRan = true;
                     }
-                    return twist(sound.attemptEnded(connect, told, report, done, now));
+                    return applyFault(correct.attemptEnded(attempt, changedOutcome, report, done, now));
                 }
 
                 @Override public List<Action> withdrawn(Mail mail, long now) {
-                    return twist(sound.withdrawn(mail, now));
+                    return applyFault(correct.withdrawn(mail, now));
                 }
 
-                @Override public List<Action> endpointsUpdated(EndpointUpdate listing, long now) {
+                @Override public List<Action> endpointsUpdated(EndpointUpdate update, long now) {
                     if (DispatcherFault.this == DEAF_TO_LISTS && count++ > 0) {
                         return List.of();
                     } else if (DispatcherFault.this == KEEPS_THE_DRAINED) {
-                        return sound.endpointsUpdated(new EndpointUpdate(listing.scope(), listing.entries().stream().map(e -> e.state()
+                        return correct.endpointsUpdated(new EndpointUpdate(update.scope(), update.entries().stream().map(e -> e.state()
                                 == EndpointUpdate.State.DRAINING ? new EndpointUpdate.Entry(e.endpoint(), EndpointUpdate.State.READY, e.weight()) : e)
                                 .toList()), now);
                     }
-                    return twist(sound.endpointsUpdated(listing, now));
+                    return applyFault(correct.endpointsUpdated(update, now));
                 }
 
                 @Override public List<Action> nextActions(long now) {
-                    List<Action> answers = twist(sound.nextActions(now));
+                    List<Action> actions = applyFault(correct.nextActions(now));
                     if (DispatcherFault.this == ENDS_LATE && count++ % 4000 == 3999) {
-                        answers.addAll(late);
+                        actions.addAll(late);
                         late.clear();
                     }
-                    return answers;
+                    return actions;
                 }
             };
         }
     }
 
-    private static List<Rules.Violation> breaks(Scenario scenario, Function<Settings, Dispatcher> module) {
-        return new ScenarioShrinker(module).violations(scenario);
+    private static List<Rules.Violation> breaks(Scenario scenario, Function<Settings, Dispatcher> dispatcherFactory) {
+        return new ScenarioShrinker(dispatcherFactory).violations(scenario);
     }
 
-    /** Days that strain each rule; the effect of mails follows from the seed. */
+    /** Days with faults that put each rule under strain; the effect of the mails follows from the seed. */
     private static List<Scenario> strainingDays() throws Scenario.InvalidScenarioException {
         List<Scenario> days = new ArrayList<>();
         for (int seed = 1; seed <= 9; seed++) {
@@ -138,7 +138,7 @@
                     "length 9000", "fault full 0 at 1500 for 1500", "fault drain 1 at 2500 for 1000",
                     "fault erring 2 at 3500 for 2500", "fault silent 0 at 5000 for 2000", "fault down 3 at 6000 for 2500")));
         }
-        // Killed with what it could not send yet.
+        // The node is killed while it holds mails that it could not send yet.
         days.add(Scenario.parse(List.of("seed 10", "nodes 1", "destinations 1", "endpoints 1", "rate 25", "length 6000",
                 "fault full 0 at 1000 for 1900", "fault kill 0 at 2950 for 300")));
         return days;
@@ -161,14 +161,14 @@
         }
         int delivered = 0;
         for (Scenario day : days) {
-            ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
-            assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
-            delivered += play.world.facts.stream().filter(fact -> fact instanceof Fact.Delivered).count();
+            ScenarioRun run = ScenarioRun.of(day, DeliveryDispatcher::new);
+            assertThat(Rules.judge(day, run.world.facts, run.settings, run.world.now())).as(day.text()).isEmpty();
+            delivered += run.world.facts.stream().filter(fact -> fact instanceof Fact.Delivered).count();
         }
         assertThat(delivered).isGreaterThan(5000);
     }
 
-    /** A check that never fails is no check: what is broken on purpose is caught by the rule it breaks. */
+    /** Guards against rules that never fail: each deliberate fault is caught by the rule that it breaks. */
     @ParameterizedTest
     @EnumSource(DispatcherFault.class)
     void eachDispatcherFaultIsCaughtByItsRule(DispatcherFault wrong) throws Exception {
@@ -179,7 +179,7 @@
         assertThat(caught).contains(wrong.rule);
     }
 
-    /** Plain dispatchers push a returning receiver over; the module does not, on the same days. */
+    /** On the same days, plain dispatchers overload a receiver that has just come back, and the product's does not. */
     @ParameterizedTest
     @ValueSource(strings = {"one try", "fixed rests"})
     void onlyPlainDispatchersOverloadAReturningReceiver(String name) throws Exception {
@@ -193,7 +193,7 @@
         assertThat(caught).isEqualTo(3);
     }
 
-    /** Guards what is owed: killed at every write of a small day, in the middle of it and just after, nothing is lost. */
+    /** Guards against the loss of accepted mails: the node is killed at every write of a short day, in the middle of it or right after it. */
     @ParameterizedTest
     @CsvSource({"WRITTEN, 1", "TORN, 1", "WRITTEN, 2", "TORN, 2"})
     void killAtAnyWriteLosesAndDuplicatesNothing(InMemoryNode.KillMoment moment, int ledger) throws Exception {
@@ -201,17 +201,17 @@
         int killed = 0;
         for (int write = 1; write <= 60; write++) {
             int at = write;
-            ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new, world -> {
+            ScenarioRun run = ScenarioRun.of(day, DeliveryDispatcher::new, world -> {
                 InMemoryNode node = (InMemoryNode) world.nodes.get(0);
                 node.killAtWrite(at, moment, () -> world.scheduleIn(600_000_000, node::start));
             });
-            assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as("killed at write " + write).isEmpty();
-            killed += play.world.facts.stream().anyMatch(fact -> fact instanceof Fact.Died) ? 1 : 0;
+            assertThat(Rules.judge(day, run.world.facts, run.settings, run.world.now())).as("killed at write " + write).isEmpty();
+            killed += run.world.facts.stream().anyMatch(fact -> fact instanceof Fact.Died) ? 1 : 0;
         }
         assertThat(killed).isGreaterThan(20);
     }
 
-    /** Each fault happens, its mark shows in the log, the node gets over it, and nothing is lost or doubled. */
+    /** Each fault is injected and leaves its fact in the log, the node recovers, and nothing is lost or duplicated. */
     @ParameterizedTest
     @CsvSource({"KILL, Died, Serves", "KILL_WRITTEN, Died, Serves", "KILL_TORN, Died, Serves", "VANISH_NODE, Died, Serves",
         "STOP, Died, Serves", "WRITE_FAILS, Fault, Delivered", "DOWN, Back, Delivered",
@@ -222,17 +222,17 @@
         for (int seed = 1; seed <= 3; seed++) {
             Scenario day = Scenario.parse(List.of("seed " + seed, "nodes 2", "zones 2", "endpoints 2", "rate 30", "length 6000",
                     "fault " + kind + " 0 at 2000 for 1500"));
-            ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
-            assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
-            assertThat(play.world.facts.stream().filter(one -> one.at() >= World.START_NS + 2000 * ScenarioRun.NS_PER_MS)
+            ScenarioRun run = ScenarioRun.of(day, DeliveryDispatcher::new);
+            assertThat(Rules.judge(day, run.world.facts, run.settings, run.world.now())).as(day.text()).isEmpty();
+            assertThat(run.world.facts.stream().filter(one -> one.at() >= World.START_NS + 2000 * ScenarioRun.NS_PER_MS)
                     .map(one -> one.getClass().getSimpleName()).dropWhile(name -> !name.equals(mark)))
                     .as(day.text()).contains(mark, after);
         }
     }
 
     /**
-     * A disk that others fill for a while: new mails are turned away, what is owed goes on, and no node ends for it, as room is
-     * kept for that; nor does the next process, where one is killed meanwhile. Nothing is lost or doubled either way.
+     * Others fill the disk for a while: new mails are refused, accepted ones go on, and no node ends because of it, as it has reserved space; nor does
+     * the next process, if one is killed meanwhile. Nothing is lost or duplicated either way.
      */
     @ParameterizedTest
     @CsvSource({"30, 1, false", "30, 2, false", "30, 3, false", "300, 1, false", "30, 1, true", "30, 2, true", "30, 3, true"})
@@ -243,50 +243,50 @@
             text.add("fault kill 0 at 2600 for 300");
         }
         Scenario day = Scenario.parse(text);
-        ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
-        assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
-        assertThat(play.world.facts.stream().filter(Fact.Died.class::isInstance)).as(day.text()).hasSize(killed ? 1 : 0);
+        ScenarioRun run = ScenarioRun.of(day, DeliveryDispatcher::new);
+        assertThat(Rules.judge(day, run.world.facts, run.settings, run.world.now())).as(day.text()).isEmpty();
+        assertThat(run.world.facts.stream().filter(Fact.Died.class::isInstance)).as(day.text()).hasSize(killed ? 1 : 0);
         long full = World.START_NS + 2000 * ScenarioRun.NS_PER_MS;
         long free = full + 1500 * ScenarioRun.NS_PER_MS;
-        assertThat(play.world.facts).as(day.text())
+        assertThat(run.world.facts).as(day.text())
                 .anyMatch(fact -> fact instanceof Fact.Answered a && a.at() > full && a.at() <= free && a.answer().equals("BUSY"))
                 .anyMatch(fact -> fact instanceof Fact.Called called && called.at() > full && called.at() <= free)
                 .anyMatch(fact -> fact instanceof Fact.Answered a && a.at() > free && a.answer().equals("OK"));
         if (!killed) {
-            long firstBusy = play.world.facts.stream().filter(fact -> fact instanceof Fact.Answered a && a.at() > full
+            long firstBusy = run.world.facts.stream().filter(fact -> fact instanceof Fact.Answered a && a.at() > full
                     && a.answer().equals("BUSY")).mapToLong(Fact::at).min().orElseThrow();
-            assertThat(play.world.facts).as(day.text()).noneMatch(fact -> fact instanceof Fact.Answered a && a.at() > firstBusy
+            assertThat(run.world.facts).as(day.text()).noneMatch(fact -> fact instanceof Fact.Answered a && a.at() > firstBusy
                     && a.at() <= free && a.answer().equals("OK"));
         }
     }
 
     /**
-     * Discovery, and who hears of ends, are gone for an hour, in the middle of which the node starts anew: mails go on by the list
-     * as last heard, and what has begun to drain meanwhile is heeded within 6 s of their return.
+     * Discovery and the receiver of notices are unreachable for an hour, in the middle of which the node restarts: mails go on by the last known
+     * endpoint list, and an endpoint that began to drain meanwhile gets no calls any more from 6 s after the return of discovery on.
      */
     @Test void discoveryOutageOfAnHourIsSurvived() throws Exception {
         int hour = 3_600_000;
         Scenario day = Scenario.parse(List.of("seed 5", "endpoints 3", "zones 1", "rate 1", "length " + (hour + 100_000),
                 "fault cut_platform 0 at 10000 for " + hour, "fault kill 0 at " + hour / 2 + " for 1000",
                 "fault drain 1 at " + (hour - 60_000) + " for 20000"));
-        ScenarioRun play = ScenarioRun.of(day, DeliveryDispatcher::new);
-        assertThat(Rules.judge(day, play.world.facts, play.settings, play.world.now())).as(day.text()).isEmpty();
+        ScenarioRun run = ScenarioRun.of(day, DeliveryDispatcher::new);
+        assertThat(Rules.judge(day, run.world.facts, run.settings, run.world.now())).as(day.text()).isEmpty();
         for (int minute = 1; minute <= 60; minute++) {
             long from = World.START_NS + minute * 60_000 * ScenarioRun.NS_PER_MS;
-            assertThat(play.world.facts).as("minute " + minute).anyMatch(fact -> fact instanceof Fact.Delivered
+            assertThat(run.world.facts).as("minute " + minute).anyMatch(fact -> fact instanceof Fact.Delivered
                     && fact.at() >= from && fact.at() < from + 60_000 * ScenarioRun.NS_PER_MS);
         }
-        String drained = play.world.facts.stream().filter(Fact.ToldDrain.class::isInstance).map(f -> ((Fact.ToldDrain) f).receiver())
+        String drained = run.world.facts.stream().filter(Fact.ToldDrain.class::isInstance).map(f -> ((Fact.ToldDrain) f).receiver())
                 .findFirst().orElseThrow();
         long begun = World.START_NS + (hour - 60_000) * ScenarioRun.NS_PER_MS;
         long back = World.START_NS + (hour + 10_000) * ScenarioRun.NS_PER_MS;
-        assertThat(play.world.facts).as("unheard of").anyMatch(fact -> fact instanceof Fact.Called called && called.at() > begun
+        assertThat(run.world.facts).as("unheard of").anyMatch(fact -> fact instanceof Fact.Called called && called.at() > begun
                 && called.at() < back && called.receiver().equals(drained));
-        assertThat(play.world.facts).noneMatch(fact -> fact instanceof Fact.Called called && called.at() > back + 6000 * ScenarioRun.NS_PER_MS
+        assertThat(run.world.facts).noneMatch(fact -> fact instanceof Fact.Called called && called.at() > back + 6000 * ScenarioRun.NS_PER_MS
                 && called.receiver().equals(drained));
     }
 
-    /** Days that broke a rule once: what was found stays found. */
+    /** Days that broke a rule once must keep all rules: guards against a return of these faults. */
     @Test void formerlyFailingDaysKeepTheRules() throws Exception {
         try (var files = Files.list(Path.of("lab/days"))) {
             List<Path> days = files.filter(file -> file.toString().endsWith(".day")).sorted().toList();
