--- a/stories/src/test/java/wrenreach/stories/Steps.java
+++ b/stories/src/test/java/wrenreach/stories/Steps.java
@@ -15,12 +15,13 @@
 import java.util.regex.Pattern;
 import wrenreach.lab.Story;
 
-/** The words of the stories. A day is played when the first of its outcomes is asked for, three times with other chances. */
+/** The step definitions of the stories. A day is run when the first step that checks its outcome is reached: three times, with different seeds. */
 public class Steps {
+    /** Number of runs of each day. */
     private static final int SEEDS = 3;
     private static final Logger ROOT_LOGGER = Logger.getLogger("");
 
-    /** How a story says a fault, and the fault as experiments have it. */
+    /** The phrases for faults in stories, and the same faults in the notation of experiments. */
     private enum FaultPhrase {
         KILLED("(node \\d+|a third of the nodes|half of the nodes|every node) (?:is|are) killed", "kill $1"),
         TORN("node (\\d+) is killed in the middle of a write", "kill_torn $1"),
@@ -60,16 +61,16 @@
         private final Pattern phrase;
         private final String fault;
 
-        FaultPhrase(String says, String fault) {
-            this.phrase = Pattern.compile(says);
+        FaultPhrase(String phrase, String fault) {
+            this.phrase = Pattern.compile(phrase);
             this.fault = fault;
         }
 
         static String fault(String text) {
-            for (FaultPhrase saying : values()) {
-                Matcher matcher = saying.phrase.matcher(text);
+            for (FaultPhrase candidate : values()) {
+                Matcher matcher = candidate.phrase.matcher(text);
                 if (matcher.matches()) {
-                    return matcher.replaceFirst(saying.fault).replace("a third of the nodes", "third").replace("half of the nodes", "half")
+                    return matcher.replaceFirst(candidate.fault).replace("a third of the nodes", "third").replace("half of the nodes", "half")
                             .replaceAll("every (node|receiver)", "all").replaceAll("\\b(node|receiver) (\\d+)", "$2");
                 }
             }
--- a/stories/src/test/java/wrenreach/stories/StoriesTest.java
+++ b/stories/src/test/java/wrenreach/stories/StoriesTest.java
@@ -8,7 +8,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** All stories. */
+/** Runs all stories. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("wrenreach.stories")
--- a/stories/src/test/resources/wrenreach/stories/links.feature
+++ b/stories/src/test/resources/wrenreach/stories/links.feature
@@ -1,5 +1,5 @@
 Feature: Links that break
-  A node goes on with what it knows, and keeps what it has promised.
+  A node goes on with what it knows, and keeps its mails to their rules.
 
   Scenario: A node that can't reach the platform
     When at 2 s, for 3 s, node 0 is cut off from the platform
@@ -15,7 +15,7 @@
     Then no rule is broken
     And at least 98 % of the mails are delivered
 
-  Scenario: Answers are lost on their way back
+  Scenario: Responses are lost on their way back
     Given mails that may run once only, wanted within 2 s and given up after 6 s
     When at 2 s, for 2 s, nothing passes receivers>n0
     Then no rule is broken
@@ -29,7 +29,7 @@
     When at 2 s, for 2 s, node 1 is heard by all and hears none
     Then no rule is broken
 
-  Scenario: The fleet falls apart in three
+  Scenario: The fleet is partitioned into three parts
     Given a fleet of 6 nodes
     When at 2 s, for 3 s, the fleet falls apart into n0,n1,r0,r1|n2,n3,r2,r3|n4,n5,platform
     Then no rule is broken
@@ -48,18 +48,18 @@
     And at 3 s, for 1 s, nothing passes n0>r1
     Then no rule is broken
 
-  Scenario: Half a request, and then nothing
+  Scenario: Half of a request arrives, and then nothing
     When at 2 s, for 2 s, half a message passes clients>n0 and then nothing
     And at 2 s, for 2 s, half a message passes n1>r0 and then nothing
     Then no rule is broken
 
-  Scenario: What carries a link dies
+  Scenario: The relay of a link dies
     When at 2 s, for 1.5 s, what carries n0-r0 dies
     And at 3 s, for 1.5 s, what carries n1-platform dies
     Then no rule is broken
     And at least 99 % of the mails are delivered
 
-  Scenario: A thin line to the platform
+  Scenario: A link of low bandwidth to the platform
     When at 2 s, for 3 s, no more than 400 bytes a second pass n0-platform
     And at 2 s, for 3 s, receiver 0 errs
     Then no rule is broken
--- a/stories/src/test/resources/wrenreach/stories/processes.feature
+++ b/stories/src/test/resources/wrenreach/stories/processes.feature
@@ -1,5 +1,5 @@
-Feature: Processes that end, stand still or do not come up
-  What a node has taken on survives its process; nothing takes effect twice for it.
+Feature: Processes that end, freeze or do not start
+  The mails that a node has accepted survive its process, and none takes effect twice because of that.
 
   Scenario: A third of the fleet is killed at once
     Given a fleet of 30 nodes
@@ -40,7 +40,7 @@
     Then no rule is broken
     And no mail runs twice
 
-  Scenario: A kill between the write and the bytes
+  Scenario: A kill between the write to the journal and the bytes sent after it
     Given mails that may run once only, wanted within 2 s and given up after 6 s
     When at 2 s, for 0.6 s, node 0 is killed right after a write
     Then no rule is broken
@@ -54,12 +54,12 @@
     Then no rule is broken
     And no mail runs twice
 
-  Scenario: A machine that is gone without a word
+  Scenario: A machine that vanishes without closing its connections
     When at 2 s, for 2 s, the machine of node 1 is gone without a word
     Then no rule is broken
     And at least 95 % of the mails are delivered
 
-  Scenario: A process that stands still beyond its clients' patience
+  Scenario: A process that is frozen for longer than its clients' timeout
     Given a fleet of 2 nodes
     And 4 destinations of 2 receivers each
     And 120 mails a second for 8 s
@@ -68,14 +68,14 @@
     Then no rule is broken
     And at least 85 % of the mails are delivered
 
-  Scenario: A third of the fleet stands still while the rest is killed one by one
+  Scenario: A third of the fleet is frozen while the rest is killed one by one
     Given a fleet of 6 nodes
     And 60 mails a second for 9 s
     When at 2 s, for 2 s, a third of the nodes stands still
     And every 2.5 s, for 0.6 s, node 1 is killed, then the next
     Then no rule is broken
 
-  Scenario: A process that does not come up for a while
+  Scenario: A process that does not start for a while
     When at 2 s, for 2 s, node 2 is killed and no process of it comes up
     Then no rule is broken
     And node 2 serves 2 times
@@ -85,7 +85,7 @@
     Then no rule is broken
     And at least 97 % of the mails are delivered
 
-  Scenario: A node is killed once it has taken 50 mails
+  Scenario: A node is killed once it has accepted 50 mails
     When once node 2 has taken 50 mails, for 0.6 s, node 2 is killed
     Then no rule is broken
     And node 2 serves 2 times
--- a/stories/src/test/resources/wrenreach/stories/receivers.feature
+++ b/stories/src/test/resources/wrenreach/stories/receivers.feature
@@ -1,7 +1,7 @@
 Feature: Receivers that fail and come back
-  One that is back gets no more than it bears; a wait that it told is kept.
+  A receiver that is back gets no more calls than it can bear, and a retry-after that it told is kept.
 
-  Scenario: A busy receiver is gone and returns cold to a large fleet
+  Scenario: A busy receiver goes down and returns to a large fleet in slow start
     Given a fleet of 30 nodes
     And 1 destination of 1 receiver each
     And 120 mails a second for 14 s
@@ -39,19 +39,19 @@
     Then no rule is broken
     And at least 90 % of the mails are delivered
 
-  Scenario: Mails of one key stay in order though receivers err and nodes die
+  Scenario: Mails of one key stay in order although receivers fail and nodes die
     Given mails that may run again, wanted within 2 s and given up after 8 s
     When at 1.5 s, for 2 s, receiver 0 errs
     And at 2 s, for 2 s, receiver 1 answers nothing
     And at 2.5 s, for 0.6 s, a third of the nodes is killed
     Then no rule is broken
 
-  Scenario: A receiver's machine is gone without a word and back
+  Scenario: A receiver's machine vanishes without closing its connections, and comes back
     When at 2 s, for 2.5 s, the machine of receiver 2 is gone without a word
     Then no rule is broken
     And at least 97 % of the mails are delivered
 
-  Scenario: A receiver gets more than it takes, in keys
+  Scenario: A receiver gets more mails with order keys than it can serve
     Given a fleet of 10 nodes
     And 1 destination of 1 receiver each
     And 600 mails a second for 8 s
--- a/stories/src/test/resources/wrenreach/stories/state.feature
+++ b/stories/src/test/resources/wrenreach/stories/state.feature
@@ -1,5 +1,5 @@
 Feature: Disks and state folders
-  A node that can't keep what it promises says so, or stops; it never invents.
+  A node that can't store mails refuses them or stops; it never reports anything untrue.
 
   Scenario: The disk fills up and is freed again
     When at 2 s, for 2 s, the disk of node 0 is full
--- a/stories/src/test/resources/wrenreach/stories/stops.feature
+++ b/stories/src/test/resources/wrenreach/stories/stops.feature
@@ -1,5 +1,5 @@
 Feature: Planned stops and new configurations
-  A stop that is planned costs no client its answer.
+  No client loses its reply by a planned stop.
 
   Scenario: One node is stopped and started again
     When at 2 s, for 0.6 s, node 1 is told to stop
@@ -19,7 +19,7 @@
     When at 3 s, for 0.6 s, every node is told to stop
     Then no rule is broken
 
-  Scenario: A process that does not hear that it shall stop
+  Scenario: A process that ignores SIGTERM
     When at 2 s, for 0.6 s, node 1 is told to stop but does not hear it
     Then no rule is broken
     And node 1 serves 2 times
