--- a/lab/src/main/java/wrenreach/lab/ProcessTrials.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessTrials.java
@@ -129,7 +129,7 @@
             createdRelays[0] = relays;
             world[0] = new RealWorld(day.seed(), loop, relays);
             ProcessNode.RunContext run = new ProcessNode.RunContext(world[0], loop, relays, keeper, folder, day.seed(), log);
-            ScenarioRun scenarioRun = loop.submit(() -> {
+            ScenarioRun dayRun = loop.submit(() -> {
                 for (int i = 0; i < day.nodes(); i++) {
                     relays.addNode(i);
                 }
@@ -156,7 +156,7 @@
             }
             long end = loop.submit(() -> {
                 world[0].watchLateness();
-                return scenarioRun.begin();
+                return dayRun.begin();
             }).get();
             while (world[0].now() < end && world[0].failed() == null && keeper.alive()) {
                 Thread.sleep(100);
@@ -166,10 +166,10 @@
                         : "the keeper is gone"), world[0].failed());
             }
             return loop.submit(() -> {
-                Rules.Verdict verdict = Rules.verdict(day, world[0].facts, scenarioRun.settings, world[0].now());
+                Rules.Verdict verdict = Rules.verdict(day, world[0].facts, dayRun.settings, world[0].now());
                 relays.trafficSummary().forEach(text -> log.accept("link | " + text));
                 writeLogs(logs, day, world[0].facts, lines, verdict);
-                return new ExperimentRunner.DayResult(value, "wrenreach", day.seed(), DeliveryMetrics.of(world[0].facts, scenarioRun.settings, verdict.violations().size()),
+                return new ExperimentRunner.DayResult(value, "wrenreach", day.seed(), DeliveryMetrics.of(world[0].facts, dayRun.settings, verdict.violations().size()),
                         verdict, world[0].facts.stream().filter(fact -> fact instanceof Fact.NeverCame).map(Fact::timelineLine).toList(),
                         world[0].factsHash(), System.nanoTime() - startedAt, world[0].now());
             }).get(30, TimeUnit.SECONDS);
