--- a/lab/src/main/java/wrenreach/lab/ProcessNode.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessNode.java
@@ -18,7 +18,7 @@
 
 /**
  * A delivery node as operators run it: a process of its own that runs the command `serve` on a config file and a state folder. Signals go to its
- * process id only. Apart from the reading of its log, all of it runs on the event loop of the run.
+ * process id only. Its log is read on a thread of its own and {@link #endForGood} may be called on any; all else runs on the event loop of the run.
  */
 final class ProcessNode extends FleetNode {
     /** Delay after which the platform restarts a process that has ended by itself, in nanoseconds. */
--- a/lab/src/main/java/wrenreach/lab/ProcessTrials.java
+++ b/lab/src/main/java/wrenreach/lab/ProcessTrials.java
@@ -45,7 +45,7 @@
     /** Port that a run binds at an address of its slot, to reserve the slot. */
     private static final int LOCK_PORT = 9999;
 
-    /** Counts slots; starts at the process id, so that concurrent processes rarely try the same ones. */
+    /** Counts the slots that were tried; starts at the process id. */
     private static final AtomicInteger NEXT_SLOT = new AtomicInteger((int) ProcessHandle.current().pid());
 
     /** A line that a process wrote or that tells of a link, and when it was read (in nanoseconds of the world's clock). */
