--- a/decisions/src/main/java/wrenreach/CircuitBreaker.java
+++ b/decisions/src/main/java/wrenreach/CircuitBreaker.java
@@ -12,9 +12,9 @@
  * The circuit breakers of the routes of one node. A breaker opens after a number of consecutive failures, or when most of the recent outcomes are failures.
  * It is half-open, for one trial at a time, once its cool-down is over, and closes after two consecutive trials that relay their mail.
  *
- * <p>Departures from the source of the pattern: the cool-down is a part of the target delay instead of 300 s, as mails live for seconds, and grows with
- * the number of nodes that may have mails for the route; fewer consecutive failures open the breaker of a route with few calls. Times are in microseconds.
- * The state is in {@link CircuitBreakerState}; owned by the decisions of one node, not thread-safe.
+ * <p>Departures from the published design that this follows, "Circuit Breakers for Crawl Workers": the cool-down is a part of the target delay instead of
+ * 300 s, as mails live for seconds, and grows with the number of nodes that may have mails for the route; fewer consecutive failures open the breaker of a
+ * route with few calls. Times are in microseconds. The state is in {@link CircuitBreakerState}; owned by the decisions of one node, not thread-safe.
  */
 final class CircuitBreaker {
     private static final double MICROS_PER_SECOND = 1_000_000;
--- a/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
+++ b/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
@@ -158,7 +158,7 @@
         mail.sequence = nextSequence++;
         mail.softDeadline = mail.deadline - queueClass.lifetime() + queueClass.targetDelay();
         // A mail that arrives with less than a target delay left has no time for a later attempt, so it competes with the mails that are in time. The cost:
-        // the last repeat that a client submits is served before its turn.
+        // the last repeat that a client submits is sent ahead of mails that it would otherwise follow.
         if (mail.deadline - now < queueClass.targetDelay()) {
             mail.softDeadline = mail.deadline;
         }
@@ -178,7 +178,7 @@
         long totalWait = expectedWait(mail.destination, mailsAhead(mail, now), now);
         // Limits the queue, as in one as long as a lifetime all mails become late and keep their order keys open. The first mail of a key is admitted to a
         // shorter queue only, as with session-based admission control, since mails behind an open one of their key would find queues full more often. The
-        // cost: a short burst is turned away where it would be relayed late.
+        // cost: a short burst is rejected where it would be relayed late.
         boolean firstOfKey = mail.orderKey == null || mail.orderKey.mails.peekFirst() == mail;
         long queueWait = totalWait - expectedWait(mail.destination, 0, now);
         if (now + totalWait + typicalLatencyOf(mail.destination) > mail.deadline
@@ -678,7 +678,7 @@
 
     /**
      * The ordinary timeout of a call. Where some calls of a receiver hang while the others are relayed at the usual latency, a hung call is given up early,
-     * while its mail may still be repeated. The cost: the slowest good calls are cut off too.
+     * while its mail may still be repeated. The cost: the slowest good calls time out too.
      */
     private long callTimeout(Route route, long now) {
         int hungCalls = route.timedOut.sum(now);
@@ -690,7 +690,7 @@
 
     /**
      * Whether the mail could be repeated after this timeout and be waited for as long again. If not, the timeout saves nothing and would lose mails that a
-     * slowed receiver would still relay. The cost: a silent receiver occupies calls for longer.
+     * slowed receiver would still relay. The cost: a receiver that does not answer occupies calls for longer.
      */
     private boolean canRepeatAfterTimeout(Mail mail, long timeout) {
         Settings.QueueClass queueClass = queueClassOf(mail);
@@ -797,7 +797,7 @@
 
     /**
      * Blocks a route after a rejection or a failure: for the Retry-After, or else for a delay that doubles. Many nodes must not return together to a receiver
-     * that is shut, or whose limit rejected calls use up: where it has relayed nothing for long, each node returns at a random time within the time that all
+     * that accepts nothing, or whose limit rejected calls use up: where it has relayed nothing for long, each node returns at a random time within the time that all
      * nodes need. The cost: a receiver that accepts again is idle for a part of that time.
      */
     private void backOff(Route route, long retryAfter, boolean rejected, long now) {
@@ -805,7 +805,7 @@
         boolean allowanceScarce = !noRecentRelay && route.limitReported && route.allowanceReportedAt == now && route.allowance <= RateLimiter.SCARCE_ALLOWANCE;
         double delay = noRecentRelay ? Math.max(route.typicalLatency, rateLimiter.messageInterval(route, now) * (1 + randomFraction(retryAfter))) : route.typicalLatency;
         delay = Math.min(2 * targetDelay, delay * Math.scalb(1.0, Math.min(route.consecutiveBackoffs++, MAX_BACKOFF_DOUBLINGS)));
-        // A limit under which mails are relayed is shared by the rate of each node: at random each skips one of its tokens in the mean, and no more.
+        // While mails are relayed, the nodes' rates already divide the limit: each node waits for a random time, that of one of its tokens on average, not longer.
         delay = allowanceScarce ? 2 * rateLimiter.messageInterval(route, now) * randomFraction(retryAfter) : delay;
         if (now + retryAfter - route.downSince > targetDelay) {
             delay = Math.max(retryAfter > 0 ? 0 : delay, 2 * circuitBreaker.coolDownDuration(route, now + retryAfter) * randomFraction(route.downSince));
--- a/decisions/src/main/java/wrenreach/RateLimiter.java
+++ b/decisions/src/main/java/wrenreach/RateLimiter.java
@@ -185,7 +185,7 @@
         return route.tokens >= WHOLE_TOKEN ? now : now + (long) Math.ceil((1 - route.tokens) / rate * MICROS_PER_SECOND);
     }
 
-    /** Takes over a load report of an endpoint. The settings tell the index of each figure in it; the report may be empty. */
+    /** Takes over a load report of an endpoint. The settings give the index of each figure in it; the report may be empty. */
     void onLoadReport(Endpoint endpoint, double[] report, long now) {
         Route route = endpoint.route;
         if (allowanceRateIndex >= 0 && allowanceRateIndex < report.length && report[allowanceRateIndex] > 0) {
--- a/decisions/src/main/java/wrenreach/api/Settings.java
+++ b/decisions/src/main/java/wrenreach/api/Settings.java
@@ -13,7 +13,7 @@
  * @param heldLimit maximum number of mails that the node holds in memory
  * @param inFlightLimit maximum number of calls in flight at a time
  * @param attemptLimit maximum number of attempts of a mail
- * @param streamsPerConnection number of calls that a connection may carry at a time, at least 1
+ * @param streamsPerConnection number of calls that one connection carries at once, at least 1
  * @param parallelAttemptsAllowed whether a mail may have several attempts in flight
  * @param cancellationAllowed whether attempts in flight may be cancelled
  * @param retryAfterEnabled whether clients are told how long to wait before they submit a deferred mail again
@@ -21,9 +21,10 @@
  * @param connectionIdleTimeout how long an idle connection stays usable
  * @param tcpConnectTimeout timeout of a TCP connect; 0: the default of the node
  * @param listOnRequest whether the dispatcher has to subscribe to the endpoint list
- * @param listRequestWindow the time within which it has to subscribe again after that failed
+ * @param listRequestWindow where the list is requested and not subscribed to: a node that has not requested it for this long is deemed to know the list as it
+ *     then was; after a failure the node requests it again sooner
  * @param weightsProvided whether the weights in the endpoint list are rate limits
- * @param weightsApproximate whether these rate limits are only approximate
+ * @param weightsApproximate whether the listed weights may be up to half too high or too low
  * @param overQuotaImportance factor of the importance of mails beyond their tenant's quota
  * @param allowanceIndex index of the remaining allowance, from 0 to 1, in load reports; -1 if they do not contain it
  * @param allowanceRateIndex index of the rate limit of the route in load reports; -1 if they do not contain it
@@ -76,8 +77,9 @@
     /**
      * Parameters of the delivery rules; times in microseconds.
      *
-     * @param answerSlack not used by the node
-     * @param drainGrace how long calls may still begin at an endpoint after it was drained, and how long a starting node waits for a current list
+     * @param answerSlack the time past a client's deadline in which a final answer still counts; not read by the node's decisions
+     * @param drainGrace the time within which sends to a draining or removed endpoint must have stopped once the node has received that change; also how long a
+     *     starting node waits for a current list
      * @param slowStartInitialShare the fraction of its normal rate that a returning receiver takes at first
      * @param slowStartDuration the time in which that grows to the normal rate
      * @param overloadFactor the multiple of that rate which a returning receiver bears for a short time
--- a/decisions/src/main/java/wrenreach/state/Call.java
+++ b/decisions/src/main/java/wrenreach/state/Call.java
@@ -14,7 +14,7 @@
     public int openAttempts;
     /** Whether the outcome of one of its attempts was already counted for the route. */
     public boolean outcomeCounted;
-    /** Whether its attempts were told to be cancelled. */
+    /** Whether the cancellation of its attempts was requested. */
     public boolean cancelled;
 
     public Call(long sentAt) {
--- a/decisions/src/main/java/wrenreach/state/Directory.java
+++ b/decisions/src/main/java/wrenreach/state/Directory.java
@@ -32,7 +32,7 @@
         return destination != null && destination.listed;
     }
 
-    /** Removes a destination; its number then stands for a new one. Whoever still holds the old object can tell by {@link Destination#listed}. */
+    /** Removes a destination; its number then stands for a new one. Code that still refers to the old object can detect this by {@link Destination#listed}. */
     public void removeDestination(Destination destination) {
         destinations.remove(destination.number, destination);
         destination.listed = false;
--- a/lists/src/main/java/wrenreach/lists/ListFiles.java
+++ b/lists/src/main/java/wrenreach/lists/ListFiles.java
@@ -23,8 +23,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wrenreach.net.Addresses;
 import wrenreach.endpoints.ListUpdate;
+import wrenreach.net.Addresses;
 
 /**
  * Reads and writes endpoint lists. A list consists of a manifest and the part files that it names, each with its SHA-256.
--- a/lists/src/main/java/wrenreach/lists/ListsCommand.java
+++ b/lists/src/main/java/wrenreach/lists/ListsCommand.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import wrenreach.frame.Command;
 import wrenreach.endpoints.ListUpdate;
+import wrenreach.frame.Command;
 
 /** The command "wrenreach lists check|make|status". Exit code 0: fine; 1: status shows a held-back list or a fault; 2: an error. */
 final class ListsCommand implements Command {
--- a/lists/src/main/java/wrenreach/lists/WatchedLists.java
+++ b/lists/src/main/java/wrenreach/lists/WatchedLists.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicReference;
-import wrenreach.frame.NodeContext;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.frame.ListFilter;
+import wrenreach.frame.NodeContext;
 import wrenreach.frame.RunningSubsystem;
 import wrenreach.frame.Subsystem;
 import wrenreach.log.LogEvent;
-import wrenreach.endpoints.ListUpdate;
 import wrenreach.watch.FileWatch;
 
 /**
--- a/lists/src/test/java/wrenreach/lists/Loopback.java
+++ b/lists/src/test/java/wrenreach/lists/Loopback.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import wrenreach.DeliveryDispatcher;
-import wrenreach.held.Journal;
 import wrenreach.endpoints.ListUpdate;
+import wrenreach.held.Journal;
 import wrenreach.node.Config;
 import wrenreach.node.DeliveryNode;
 
--- a/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
+++ b/lists/src/test/java/wrenreach/lists/WatchedListsTest.java
@@ -31,11 +31,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import wrenreach.api.Settings;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.frame.NodeContext;
 import wrenreach.frame.Subsystem;
 import wrenreach.held.Submission;
 import wrenreach.net.ReplyHandle;
-import wrenreach.endpoints.ListUpdate;
 
 /** Tests watched files with a node stub that only records the updates that it gets. */
 class WatchedListsTest {
--- a/node/src/main/java/wrenreach/endpoints/EndpointTable.java
+++ b/node/src/main/java/wrenreach/endpoints/EndpointTable.java
@@ -673,7 +673,7 @@
         }
     }
 
-    // ---- Addresses: an IPv4 address and a port in canonical form are packed into a long and take no text ----
+    // ---- Addresses: four numbers below 256 and a port in canonical form are packed into a long and take no text ----
 
     /** The packed address, or -1 if the text is none that can be packed and unpacked to the same text. */
     private static long packAddress(String address) {
--- a/node/src/main/java/wrenreach/endpoints/ListLog.java
+++ b/node/src/main/java/wrenreach/endpoints/ListLog.java
@@ -22,8 +22,8 @@
 import wrenreach.log.LogEvent;
 
 /**
- * The endpoint list as discovery told it last, stored in the state folder so that a later process does not fall behind what this one
- * knew: a snapshot and the deltas since, appended as they are told. The file is valid up to its last intact commit, so each list
+ * The endpoint list as discovery sent it last, stored in the state folder so that a later process does not fall behind what this one
+ * knew: a snapshot and the deltas since, appended as they are received. The file is valid up to its last intact commit, so each list
  * is stored whole or not at all, wherever a kill cuts the file. Once the file has doubled, a new snapshot is written beside it, in slices.
  * The format is described in docs/files.md; the previous format (one object in the file {@code list}) can be read. Owned by the node's
  * event loop. An error on writing never reaches the node: it goes on without a stored list.
@@ -349,7 +349,7 @@
     }
 
     /**
-     * Deletes the stored list to make space for the records of accepted mails on a full disk. The next list that is told is stored again, as
+     * Deletes the stored list to make space for the records of accepted mails on a full disk. The next list that is received is stored again, as
      * far as there is space.
      *
      * @return false: there was nothing to delete
--- a/node/src/main/java/wrenreach/endpoints/ListUpdate.java
+++ b/node/src/main/java/wrenreach/endpoints/ListUpdate.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A list as discovery tells it.
+ * A list as discovery sends it.
  *
  * @param index its version
  * @param whole true: a snapshot of the whole list; false: a delta of the endpoints that changed
--- a/node/src/main/java/wrenreach/frame/NodeContext.java
+++ b/node/src/main/java/wrenreach/frame/NodeContext.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import wrenreach.api.Settings;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.held.Submission;
 import wrenreach.net.ReplyHandle;
-import wrenreach.endpoints.ListUpdate;
 
 /** What a node offers to its subsystems. Only {@link #loop} and {@link #now} may be used from other threads than the event loop's. */
 public interface NodeContext {
@@ -30,7 +30,7 @@
      */
     void prepare(List<ListUpdate.Entry> entries);
 
-    /** Tells the decisions an update of the endpoint list; it bypasses the {@link ListFilter}. */
+    /** Passes an update of the endpoint list to the decisions; it bypasses the {@link ListFilter}. */
     void updateEndpoints(ListUpdate line);
 
     /**
--- a/node/src/main/java/wrenreach/frame/NodeEvent.java
+++ b/node/src/main/java/wrenreach/frame/NodeEvent.java
@@ -3,7 +3,7 @@
 import wrenreach.api.Outcome;
 
 /**
- * What a subsystem is told about mails. Times are in microseconds: at is the time of the iteration, see {@link NodeContext#now}; a deadline is
+ * The events of mails that a subsystem receives. Times are in microseconds: at is the time of the iteration, see {@link NodeContext#now}; a deadline is
  * by the wall clock.
  */
 public sealed interface NodeEvent {
--- a/node/src/main/java/wrenreach/frame/RunningSubsystem.java
+++ b/node/src/main/java/wrenreach/frame/RunningSubsystem.java
@@ -21,7 +21,7 @@
     /** The section as it is in the operator's file now; only changes of keys that are marked live may take effect. */
     default void reloaded(S section) { }
 
-    /** The listener for events of mails; an event is delivered once what it tells is recorded in the ledger. */
+    /** The listener for events of mails; an event is delivered once what it reports is recorded in the ledger. */
     default Optional<Consumer<NodeEvent>> eventListener() {
         return Optional.empty();
     }
--- a/node/src/main/java/wrenreach/held/Journal.java
+++ b/node/src/main/java/wrenreach/held/Journal.java
@@ -250,7 +250,7 @@
     /**
      * Appends the pending records; on a full disk it frees space for them. A node that can't record stops, and stops again at each start, until
      * the lifetimes of its mails have passed. So space is reserved for the records of accepted mails; and when that is used up, the
-     * stored endpoint list is discarded, as discovery can tell it again.
+     * stored endpoint list is discarded, as discovery can send it again.
      *
      * @return false: nothing is appended, but there is more space now than before; try again
      * @throws IOException if no more space can be freed
--- a/node/src/main/java/wrenreach/net/Calls.java
+++ b/node/src/main/java/wrenreach/net/Calls.java
@@ -229,7 +229,7 @@
         }
     }
 
-    /** Before the records of the iteration are written: picks the calls whose bytes go out after them and tells the host of each. */
+    /** Before the records of the iteration are written: picks the calls whose bytes are sent after them and reports each to the host. */
     public void prepareWrites() {
         List<PendingCall> blocked = new ArrayList<>();
         for (PendingCall call : stagedCalls) {
--- a/node/src/main/java/wrenreach/net/Discovery.java
+++ b/node/src/main/java/wrenreach/net/Discovery.java
@@ -31,9 +31,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import wrenreach.endpoints.EndpointTable;
-import wrenreach.endpoints.ListUpdate;
 import wrenreach.endpoints.ListReader;
 import wrenreach.endpoints.ListSink;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.log.LogEvent;
 
 /**
@@ -53,7 +53,8 @@
     private static final int TOO_LARGE_BACKOFF_FACTOR = 30;
 
     /**
-     * The timeouts of the watch. A list update counts as received by the node within seconds, so they are short.
+     * The timeouts of the watch. They are short, as the operators' protocol counts a list update as known to the node 6 s after the
+     * watch fell silent, or 6 s after discovery can be reached again.
      *
      * @param silenceTimeout milliseconds after which a watch that brings nothing is closed
      * @param initialBackoff milliseconds between the first failure and the next try
@@ -174,7 +175,7 @@
         }
     }
 
-    /** Whether discovery has answered a watch with an error status: it is reachable, but has no list to tell. */
+    /** Whether discovery has answered a watch with an error status: it is reachable, but has no list to send. */
     public boolean refuses() {
         return refuses;
     }
--- a/node/src/main/java/wrenreach/net/SubmissionServer.java
+++ b/node/src/main/java/wrenreach/net/SubmissionServer.java
@@ -158,7 +158,7 @@
         return new ServerBootstrap().group(group).channelFactory(serverChannelFactory)
                 .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-                // Many accepts at a time: clients that connect behind a crowd would otherwise wait for many iterations.
+                // Many accepts at a time: clients that connect behind many others would otherwise wait for many iterations.
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION))
                 .handler(new AcceptFaults())
@@ -240,7 +240,7 @@
 
     /**
      * Closes surplus connections that are between requests, the longest unused first, to bound the descriptors. Clients that have
-     * sent no request get at most half of the places, so that a crowd of silent ones doesn't displace those that send requests.
+     * sent no request get at most half of the places, so that many idle ones don't displace those that send requests.
      */
     private void closeSurplus() {
         closeSurplus(clientsWithoutRequest, Math.max(1, maxClients / 2));
@@ -402,7 +402,7 @@
             if (cause instanceof DecoderException && !closed) {
                 channelRead0(context, new Request.Malformed("malformed request", true));
             } else {
-                // The rest of half a request shows up as an error when its connection closes: the first reason is kept.
+                // The remainder of an incomplete request shows up as an error when its connection closes: the first reason is kept.
                 closeReason = closed ? closeReason : ClosedConnections.Reason.BROKEN;
                 context.close();
             }
--- a/node/src/main/java/wrenreach/node/DeliveryNode.java
+++ b/node/src/main/java/wrenreach/node/DeliveryNode.java
@@ -19,8 +19,8 @@
 import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
-import wrenreach.endpoints.ListUpdate;
 import wrenreach.endpoints.ListSink;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.frame.NodeContext;
 import wrenreach.frame.NodeEvent;
 import wrenreach.frame.RunningSubsystem;
@@ -33,16 +33,16 @@
 import wrenreach.log.LogEvent;
 import wrenreach.log.LogRateLimiter;
 import wrenreach.net.Addresses;
-import wrenreach.net.ReplyHandle;
 import wrenreach.net.Calls;
-import wrenreach.net.Discovery;
-import wrenreach.net.SubmissionServer;
 import wrenreach.net.DelayedTask;
+import wrenreach.net.Discovery;
 import wrenreach.net.LoopFailures;
 import wrenreach.net.Notices;
 import wrenreach.net.Reply;
+import wrenreach.net.ReplyHandle;
 import wrenreach.net.Request;
 import wrenreach.net.Sockets;
+import wrenreach.net.SubmissionServer;
 import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Directory;
 import wrenreach.state.Endpoint;
@@ -478,7 +478,7 @@
     }
 
     /**
-     * Checks periodically for mails that the decisions have finished but that the node was never told to end. Such a lost action is a
+     * Checks periodically for mails that the decisions have finished without an action that ends them. Such a lost action is a
      * defect and is logged at once; its mail would stay outstanding for as long as the process lives, so the node ends it once its
      * deadline has passed.
      */
--- a/node/src/main/java/wrenreach/node/EndpointLists.java
+++ b/node/src/main/java/wrenreach/node/EndpointLists.java
@@ -4,10 +4,10 @@
 import java.lang.System.Logger.Level;
 import java.util.List;
 import wrenreach.endpoints.EndpointTable;
-import wrenreach.endpoints.ListUpdate;
+import wrenreach.endpoints.ForwardingListSink;
 import wrenreach.endpoints.ListLog;
 import wrenreach.endpoints.ListSink;
-import wrenreach.endpoints.ForwardingListSink;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.log.LogEvent;
 import wrenreach.net.Addresses;
 import wrenreach.net.Discovery;
@@ -61,7 +61,7 @@
 
     /**
      * Restores the list that an earlier process received, unless the config's list is newer, and returns the discovery address that the
-     * known list came from. Drains that the earlier process was told of thus apply to this one too, also while discovery is silent. A
+     * known list came from. Drains that the earlier process received thus apply to this one too, also while discovery does not answer. A
      * stored list that can't be read is ignored.
      */
     private String restoreStoredList(String discoveryAddress) {
@@ -115,8 +115,8 @@
 
     /**
      * Delays sending until discovery has sent a list, at most until this time in microseconds. Drains may have been published while no
-     * process ran: the known list may be outdated, and what discovery has counts as told. Discovery answers at once; where it is silent,
-     * the known list has to do from this time on. A request that fails is no such silence, as the next one may be answered; where one is
+     * process ran: the known list may be outdated, and what discovery has counts as received. Discovery answers at once; where it does not,
+     * the known list has to do from this time on. A request that fails does not count as such, as the next one may be answered; where one is
      * refused there is no list to wait for.
      */
     void delaySendingUntil(long time) {
--- a/node/src/main/java/wrenreach/node/FailureReport.java
+++ b/node/src/main/java/wrenreach/node/FailureReport.java
@@ -19,12 +19,12 @@
                 ? outOfMemory(thrown) + ", " + endpoints + " endpoints are listed and " + mails + " mails held" : describeWithFrames(thrown);
     }
 
-    /** Tells which memory has run out and how large the heap is. */
+    /** States which memory has run out and how large the heap is. */
     public static String outOfMemory(Throwable thrown) {
         return "out of memory (" + thrown.getMessage() + "): the heap has " + Runtime.getRuntime().maxMemory() / MB + " MB";
     }
 
-    /** Tells what was thrown and from where, the innermost frame first. */
+    /** States what was thrown and from where, the innermost frame first. */
     public static String describeWithFrames(Throwable thrown) {
         List<String> frames = new ArrayList<>();
         StackTraceElement[] stack = thrown.getStackTrace();
@@ -34,7 +34,7 @@
         return thrown + (frames.isEmpty() ? "" : " at " + String.join(" < ", frames));
     }
 
-    /** Tells what staff can do about the failure. */
+    /** States what staff can do about the failure. */
     static String advice(Throwable thrown) {
         if (thrown instanceof OutOfMemoryError) {
             return "give it more memory (-Xmx in deploy/serve.options) or a shorter list";
--- a/node/src/main/java/wrenreach/node/GracefulShutdown.java
+++ b/node/src/main/java/wrenreach/node/GracefulShutdown.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The steps of a graceful shutdown, timed from the signal: the node keeps serving while the front may still send (0.4 s), then works on
- * the mails that it holds, then only waits for the calls in flight, and exits well before the kill (3.7 s). No step ends a request or
- * call that was begun before it, so that no mail in progress is lost.
+ * The steps of a graceful shutdown, timed from the signal: the node keeps serving while new connections from clients still arrive
+ * (for 0.2 to 0.4 s after SIGTERM), then works on the mails that it holds, then only waits for the calls in flight, and exits well
+ * before the kill (3.7 s). No step ends a request or call that was begun before it, so that no mail in progress is lost.
  */
 final class GracefulShutdown {
     /** Milliseconds after the signal at which the node stops accepting mails. */
--- a/node/src/main/java/wrenreach/node/MessageLog.java
+++ b/node/src/main/java/wrenreach/node/MessageLog.java
@@ -59,7 +59,7 @@
         }
     }
 
-    /** An accepted mail ended undelivered; the platform is to be told. */
+    /** An accepted mail ended undelivered; the platform has to be notified. */
     void ended(HeldMail mail, Ending ending, EndReason reason, long now) {
         if (mayLog(LineKind.ENDED, now)) {
             LogEvent.log(LOG, Level.INFO, "message.ended", "message {id}: ended {status} after {attempts} attempts: {reason}{more}", "id",
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The decisions have finished the mail, but the node was never told to end it: its order key has gone on without it. */
+    /** The decisions have finished the mail, but without an action that ends it: its order key has continued without it. */
     void decisionLost(HeldMail mail, long now) {
         if (mayLog(LineKind.DEFECT, now)) {
             LogEvent.log(LOG, Level.ERROR, "message.lost", "a defect, report this line: message {id} of key {key} was ended by the decisions and "
--- a/node/src/main/java/wrenreach/node/Subsystems.java
+++ b/node/src/main/java/wrenreach/node/Subsystems.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.frame.ListFilter;
 import wrenreach.frame.NodeEvent;
 import wrenreach.frame.RunningSubsystem;
 import wrenreach.log.LogEvent;
-import wrenreach.endpoints.ListUpdate;
 
 /**
  * The subsystems of one node, on its event loop. An exception in one of them does not reach the node: the subsystem is left out from then
--- a/node/src/test/java/wrenreach/net/DiscoveryTest.java
+++ b/node/src/test/java/wrenreach/net/DiscoveryTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wrenreach.endpoints.ListUpdate;
 import wrenreach.endpoints.ListReader;
 import wrenreach.endpoints.ListSink;
+import wrenreach.endpoints.ListUpdate;
 
 /** Following a list from an agent on loopback, which the test itself implements. */
 class DiscoveryTest implements Discovery.Host {
--- a/node/src/test/java/wrenreach/node/DeliveryNodeTest.java
+++ b/node/src/test/java/wrenreach/node/DeliveryNodeTest.java
@@ -36,8 +36,8 @@
 import wrenreach.held.Journal;
 import wrenreach.held.RecordedAttempt;
 import wrenreach.held.Submission;
-import wrenreach.net.ReplyHandle;
 import wrenreach.net.Reply;
+import wrenreach.net.ReplyHandle;
 
 /** Runs one node against a small receiver and platform on loopback. */
 class DeliveryNodeTest {
