--- a/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
+++ b/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
@@ -46,7 +46,7 @@
 
     /** Ticks after its scheduled time from which a wake-up counts as late. */
     private static final int LATE_WAKE_UP_TICKS = 4;
-    /** Number of samples that the assumed latency of a new route stands for. */
+    /** Number of samples that the assumed latency of a new route counts as. */
     private static final int INITIAL_LATENCY_SAMPLES = 4;
     /** EWMA weight of a new sample in the typical latency, which must outlast a slow period. */
     private static final double TYPICAL_LATENCY_WEIGHT = 0.03;
--- a/decisions/src/main/java/wrenreach/RateLimiter.java
+++ b/decisions/src/main/java/wrenreach/RateLimiter.java
@@ -241,7 +241,7 @@
         route.share = Math.max(minShare, Math.min(currentShare(route, now), BURST_SHARE_FACTOR * fairShare(route, now)) * REJECTION_DECREASE_FACTOR);
         route.shareUpdatedAt = route.shareReducedAt = now;
         // Saved tokens are dropped except for a random part of one: all nodes reach a limit at the same time, and with a whole token each
-        // they would send again in step. Where the receiver counts per fixed window, some nodes have no token when the next one begins.
+        // they would send again at the same times. Where the receiver counts per fixed window, some nodes have no token when the next one begins.
         route.tokens = burst ? route.tokens : Math.min(route.tokens, draw);
     }
 }
--- a/node/src/main/java/wrenreach/held/Journal.java
+++ b/node/src/main/java/wrenreach/held/Journal.java
@@ -22,7 +22,7 @@
 
 /**
  * The ledger as an append-only file: records of length, checksum and content, appended once an iteration of the event loop. A tail
- * that a killed process left half written is truncated. Old records are removed by compaction: the outstanding mails are written to a new
+ * that a killed process left incomplete is truncated. Old records are removed by compaction: the outstanding mails are written to a new
  * file that replaces the old one. Owned by the node's event loop.
  */
 public final class Journal implements Ledger {
@@ -135,7 +135,7 @@
     }
 
     @Override public boolean fits(int bodyBytes, int before, int attempts) {
-        // A mail is reckoned as its body and 128 bytes, and 128 more bytes for each attempt.
+        // A mail is counted as its body and 128 bytes, and 128 more bytes for each attempt.
         return reservedSpace.reserved() && outstandingBytes + (1L + before) * (bodyBytes + (1 + attempts) * 128L) <= outstandingLimit;
     }
 
--- a/node/src/main/java/wrenreach/net/Backoff.java
+++ b/node/src/main/java/wrenreach/net/Backoff.java
@@ -4,7 +4,7 @@
 
 /**
  * Exponential backoff with jitter, in milliseconds: delays double from the initial one up to a maximum, and half of each is random.
- * Without the jitter many nodes would retry in step after a failure that affected all of them.
+ * Without the jitter many nodes would retry at the same times after a failure that affected all of them.
  */
 final class Backoff {
     /** Bounds the shift of {@link #scaledTimeout}, which would overflow after many failures. */
--- a/node/src/main/java/wrenreach/net/Calls.java
+++ b/node/src/main/java/wrenreach/net/Calls.java
@@ -54,7 +54,7 @@
         /** Begins an iteration if none is running; its time in microseconds. */
         long iterationTime();
 
-        /** Microseconds since the iteration began: data read now arrived later than {@connection #iterationTime} by this much. */
+        /** Microseconds since the iteration began: data read now arrived later than {@link #iterationTime} by this much. */
         long iterationAge();
 
         /**
--- a/node/src/main/java/wrenreach/net/Discovery.java
+++ b/node/src/main/java/wrenreach/net/Discovery.java
@@ -387,7 +387,7 @@
         }
     }
 
-    /** Handles a watch. Only entries, whole objects and blank lines restart the timeout, so that a watch that dies within a list is closed. */
+    /** Handles a watch. Only entries, whole objects and blank lines restart the timeout, so that a watch that falls silent within a list is closed. */
     private final class WatchHandler extends ResponseHandler<ListFrameDecoder.Fragment> {
         /** A list could not be read. All further input is ignored: a new watch brings all changes since the last known index. */
         private boolean malformed;
--- a/node/src/main/java/wrenreach/net/LoopFailures.java
+++ b/node/src/main/java/wrenreach/net/LoopFailures.java
@@ -12,7 +12,7 @@
 
 /**
  * Reports exceptions of an event loop and its tasks to a handler. By itself the loop only logs what a task throws, ignores what a
- * delayed one throws, and where it fails itself only the loop ends: the process would stay and serve nobody.
+ * delayed one throws, and where it fails itself only the loop ends: the process would keep running without serving anyone.
  */
 public final class LoopFailures {
     private volatile Consumer<Throwable> handler = thrown -> { };
@@ -36,7 +36,7 @@
         try {
             handler.accept(thrown);
         } catch (RuntimeException | Error e) {
-            // With no memory left even for the handler, the process would stay and serve nobody.
+            // With no memory left even for the handler, the process would keep running without serving anyone.
             Runtime.getRuntime().halt(1);
         }
     }
--- a/node/src/main/java/wrenreach/net/SubmissionServer.java
+++ b/node/src/main/java/wrenreach/net/SubmissionServer.java
@@ -216,7 +216,7 @@
         });
     }
 
-    /** Closes connections that exceed a timeout: clients that send nothing or half a request, or stay idle, would use up the descriptors. */
+    /** Closes connections that exceed a timeout: clients that send nothing or an incomplete request, or stay idle, would use up the descriptors. */
     private void closeTimedOut() {
         long requestCutoff = nowNanos() - TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MS);
         long idleCutoff = nowNanos() - TimeUnit.MILLISECONDS.toNanos(IDLE_TIMEOUT_MS);
@@ -331,7 +331,7 @@
             }
         }
 
-        /** The time for a request is over, and half of it or nothing has come. */
+        /** The time for a request is over, and only a part of it or nothing has arrived. */
         private void requestTimedOut() {
             if (partialRequestLimiter.hasPartialRequest() && openRequests.isEmpty()) {
                 ctx.writeAndFlush(new Reply.Error("request took too long", true));
--- a/node/src/main/java/wrenreach/node/DeliveryNode.java
+++ b/node/src/main/java/wrenreach/node/DeliveryNode.java
@@ -49,7 +49,7 @@
 import wrenreach.state.Mail;
 
 /**
- * A delivery node on its sockets. A single event loop owns all of its state. Each iteration gathers what the sockets brought, asks the
+ * A delivery node with its sockets. A single event loop owns all of its state. Each iteration gathers what the sockets brought, asks the
  * decisions for actions, writes one batch of records to the journal, and only then lets bytes go out: replies to clients first, then
  * calls to receivers and notices to the platform.
  */
@@ -57,7 +57,7 @@
     private static final System.Logger LOG = System.getLogger(DeliveryNode.class.getName());
     /** File descriptors reserved for files, the event loop, discovery and notices. */
     private static final int RESERVED_DESCRIPTORS = 32;
-    /** Connections to endpoints that may stand idle, per attempt that may be in flight. */
+    /** Connections to endpoints that may be idle, per attempt that may be in flight. */
     private static final int IDLE_CONNECTIONS_PER_SLOT = 8;
     /** The memory limit divided by this is for requests of clients. */
     private static final int CLIENT_MEMORY_DIVISOR = 3;
@@ -575,12 +575,12 @@
         }
         if (heldMails.contains(submission.id()) && !heldMails.isAccepted(submission.id())) {
             // A client may disconnect and submit the same id again within one iteration: its abandoned first request must not count as
-            // another client'submission.
+            // another client's.
             withdrawAbandoned();
         }
         if (heldMails.contains(submission.id())) {
             // An accepted mail that is submitted again, as on a new connection, is confirmed again. An id that is still being admitted
-            // belongs to another client'submission request, which gets the reply.
+            // belongs to another client's request, which gets the reply.
             boolean accepted = heldMails.isAccepted(submission.id());
             if (!accepted) {
                 messageLog.refused(submission, "id in use", now);
@@ -799,7 +799,7 @@
 
     /**
      * Ends a node that can't go on: exit code 1, one log line, and nothing more is written, as after a kill. Otherwise the process would
-     * stay and serve nobody, or a half-computed state would get into the state folder. Until the memory reserve is released nothing may
+     * keep running without serving anyone, or a half-computed state would get into the state folder. Until the memory reserve is released nothing may
      * allocate, neither here nor in the callers; even the first use of a string literal does.
      */
     @Override public void abort(boolean duringIteration, Throwable thrown) {
--- a/node/src/test/java/wrenreach/net/SubmissionServerTest.java
+++ b/node/src/test/java/wrenreach/net/SubmissionServerTest.java
@@ -102,7 +102,7 @@
         awaitClosed(ClosedConnections.Reason.IDLE, 1);
     }
 
-    /** A client that stops in the middle of a request and stays connected is owed an error within 3 s. */
+    /** A client that stops in the middle of a request and stays connected gets an error within 3 s. */
     @Test void unfinishedRequestIsAnsweredWithAnErrorInTime() throws Exception {
         long startedAt = System.nanoTime();
         assertThat(readToEnd(connect("*5\r\n$7\r\nENQ"))).startsWith("-ERR");
