--- a/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
+++ b/decisions/src/main/java/wrenreach/DeliveryDispatcher.java
@@ -947,7 +947,7 @@
         }
     }
 
-    /** Lets the next mail of the order key go, once the mail is finished and no attempt is in flight. */
+    /** Allows the next mail of the order key to be sent, once the mail is finished and no attempt is in flight. */
     private void removeFromOrderKey(Mail mail) {
         if (mail.orderKey != null && mail.finished && mail.inFlight == 0) {
             mail.orderKey.mails.remove(mail);
--- a/node/src/main/java/wrenreach/node/DeliveryNode.java
+++ b/node/src/main/java/wrenreach/node/DeliveryNode.java
@@ -50,7 +50,7 @@
 
 /**
  * A delivery node with its sockets. A single event loop owns all of its state. Each iteration gathers what the sockets brought, asks the
- * decisions for actions, writes one batch of records to the journal, and only then lets bytes go out: replies to clients first, then
+ * decisions for actions, writes one batch of records to the journal, and only then sends bytes: replies to clients first, then
  * calls to receivers and notices to the platform.
  */
 public final class DeliveryNode implements SubmissionServer.Host, Calls.Host, Discovery.Host, GracefulShutdown.Host, EndpointLists.Host, NodeContext {
@@ -375,7 +375,7 @@
         if (phase == Phase.STOPPED) {
             return;
         }
-        // A failure while bytes go out belongs to the next iteration, so this one is closed first.
+        // A failure while bytes are sent belongs to the next iteration, so this one is ended first.
         writeInProgress = false;
         inIteration = false;
         unwrittenMails.clear();
