--- a/decisions/src/main/java/wrenreach/RateLimiter.java
+++ b/decisions/src/main/java/wrenreach/RateLimiter.java
@@ -185,7 +185,7 @@
         return route.tokens >= WHOLE_TOKEN ? now : now + (long) Math.ceil((1 - route.tokens) / rate * MICROS_PER_SECOND);
     }
 
-    /** Takes over a load report of an endpoint. The settings tell the index of each figure in it; the report may be empty. */
+    /** Takes over a load report of an endpoint. The settings give the index of each figure in it; the report may be empty. */
     void onLoadReport(Endpoint endpoint, double[] report, long now) {
         Route route = endpoint.route;
         if (allowanceRateIndex >= 0 && allowanceRateIndex < report.length && report[allowanceRateIndex] > 0) {
@@ -241,7 +241,7 @@
         route.share = Math.max(minShare, Math.min(currentShare(route, now), BURST_SHARE_FACTOR * fairShare(route, now)) * REJECTION_DECREASE_FACTOR);
         route.shareUpdatedAt = route.shareReducedAt = now;
         // Saved tokens are dropped except for a random part of one: all nodes reach a limit at the same time, and with a whole token each
-        // they would send again in step. Where the receiver counts per fixed window, some nodes have no token when the next one begins.
+        // they would send again at the same times. Where the receiver counts per fixed window, some nodes have no token when the next one begins.
         route.tokens = burst ? route.tokens : Math.min(route.tokens, draw);
     }
 }
--- a/node/src/main/java/wrenreach/net/Calls.java
+++ b/node/src/main/java/wrenreach/net/Calls.java
@@ -54,7 +54,7 @@
         /** Begins an iteration if none is running; its time in microseconds. */
         long iterationTime();
 
-        /** Microseconds since the iteration began: data read now arrived later than {@connection #iterationTime} by this much. */
+        /** Microseconds since the iteration began: data read now arrived later than {@link #iterationTime} by this much. */
         long iterationAge();
 
         /**
@@ -229,7 +229,7 @@
         }
     }
 
-    /** Before the records of the iteration are written: picks the calls whose bytes go out after them and tells the host of each. */
+    /** Before the records of the iteration are written: picks the calls whose bytes are sent after them and reports each to the host. */
     public void prepareWrites() {
         List<PendingCall> blocked = new ArrayList<>();
         for (PendingCall call : stagedCalls) {
--- a/node/src/main/java/wrenreach/node/DeliveryNode.java
+++ b/node/src/main/java/wrenreach/node/DeliveryNode.java
@@ -19,8 +19,8 @@
 import wrenreach.api.EndpointUpdate;
 import wrenreach.api.Outcome;
 import wrenreach.api.Settings;
-import wrenreach.endpoints.ListUpdate;
 import wrenreach.endpoints.ListSink;
+import wrenreach.endpoints.ListUpdate;
 import wrenreach.frame.NodeContext;
 import wrenreach.frame.NodeEvent;
 import wrenreach.frame.RunningSubsystem;
@@ -33,31 +33,31 @@
 import wrenreach.log.LogEvent;
 import wrenreach.log.LogRateLimiter;
 import wrenreach.net.Addresses;
-import wrenreach.net.ReplyHandle;
 import wrenreach.net.Calls;
-import wrenreach.net.Discovery;
-import wrenreach.net.SubmissionServer;
 import wrenreach.net.DelayedTask;
+import wrenreach.net.Discovery;
 import wrenreach.net.LoopFailures;
 import wrenreach.net.Notices;
 import wrenreach.net.Reply;
+import wrenreach.net.ReplyHandle;
 import wrenreach.net.Request;
 import wrenreach.net.Sockets;
+import wrenreach.net.SubmissionServer;
 import wrenreach.state.DeliveryAttempt;
 import wrenreach.state.Directory;
 import wrenreach.state.Endpoint;
 import wrenreach.state.Mail;
 
 /**
- * A delivery node on its sockets. A single event loop owns all of its state. Each iteration gathers what the sockets brought, asks the
- * decisions for actions, writes one batch of records to the journal, and only then lets bytes go out: replies to clients first, then
+ * A delivery node with its sockets. A single event loop owns all of its state. Each iteration gathers what the sockets brought, asks the
+ * decisions for actions, writes one batch of records to the journal, and only then sends bytes: replies to clients first, then
  * calls to receivers and notices to the platform.
  */
 public final class DeliveryNode implements SubmissionServer.Host, Calls.Host, Discovery.Host, GracefulShutdown.Host, EndpointLists.Host, NodeContext {
     private static final System.Logger LOG = System.getLogger(DeliveryNode.class.getName());
     /** File descriptors reserved for files, the event loop, discovery and notices. */
     private static final int RESERVED_DESCRIPTORS = 32;
-    /** Connections to endpoints that may stand idle, per attempt that may be in flight. */
+    /** Connections to endpoints that may be idle, per attempt that may be in flight. */
     private static final int IDLE_CONNECTIONS_PER_SLOT = 8;
     /** The memory limit divided by this is for requests of clients. */
     private static final int CLIENT_MEMORY_DIVISOR = 3;
@@ -375,7 +375,7 @@
         if (phase == Phase.STOPPED) {
             return;
         }
-        // A failure while bytes go out belongs to the next iteration, so this one is closed first.
+        // A failure while bytes are sent belongs to the next iteration, so this one is ended first.
         writeInProgress = false;
         inIteration = false;
         unwrittenMails.clear();
@@ -478,7 +478,7 @@
     }
 
     /**
-     * Checks periodically for mails that the decisions have finished but that the node was never told to end. Such a lost action is a
+     * Checks periodically for mails that the decisions have finished without an action that ends them. Such a lost action is a
      * defect and is logged at once; its mail would stay outstanding for as long as the process lives, so the node ends it once its
      * deadline has passed.
      */
@@ -575,12 +575,12 @@
         }
         if (heldMails.contains(submission.id()) && !heldMails.isAccepted(submission.id())) {
             // A client may disconnect and submit the same id again within one iteration: its abandoned first request must not count as
-            // another client'submission.
+            // another client's.
             withdrawAbandoned();
         }
         if (heldMails.contains(submission.id())) {
             // An accepted mail that is submitted again, as on a new connection, is confirmed again. An id that is still being admitted
-            // belongs to another client'submission request, which gets the reply.
+            // belongs to another client's request, which gets the reply.
             boolean accepted = heldMails.isAccepted(submission.id());
             if (!accepted) {
                 messageLog.refused(submission, "id in use", now);
@@ -799,7 +799,7 @@
 
     /**
      * Ends a node that can't go on: exit code 1, one log line, and nothing more is written, as after a kill. Otherwise the process would
-     * stay and serve nobody, or a half-computed state would get into the state folder. Until the memory reserve is released nothing may
+     * keep running without serving anyone, or a half-computed state would get into the state folder. Until the memory reserve is released nothing may
      * allocate, neither here nor in the callers; even the first use of a string literal does.
      */
     @Override public void abort(boolean duringIteration, Throwable thrown) {
