--- a/lab/src/main/java/wrenreach/lab/Scenario.java
+++ b/lab/src/main/java/wrenreach/lab/Scenario.java
@@ -131,7 +131,7 @@
     /**
      * One fault: it begins at atMs, or once its trigger is met, and lasts forMs milliseconds. target: which node or receiver (a
      * number, taken modulo how many there are; third, half, all), or links (A-B both ways, A>B one way), or sets of parties.
-     * figure, more: parameters of a link's impairment, see {@link wrenreach.relay.Trouble}.
+     * figure, more: parameters of a link's impairment, see {@link wrenreach.relay.Impairment}.
      */
     record Fault(Kind kind, String target, double figure, double more, int atMs, Once once, int forMs) {
         Fault(Kind kind, int which, int atMs, int forMs) {
